--- a/measure/quarantine.py
+++ b/measure/quarantine.py
@@ -24,8 +24,8 @@
     RecentRuns,
     RequestIdentity,
     Standing,
-    TrialAsk,
-    TrialOver,
+    TrialRequest,
+    TrialResult,
     Verdict,
 )
 
@@ -176,7 +176,9 @@
             return Verdict.RUN
         if standing is Standing.QUARANTINED:
             return Verdict.REFUSE
-        verdict = self._boxes[0].ask(TrialAsk(request, run, CALL_SECONDS), now).verdict
+        verdict = (
+            self._boxes[0].request_trial(TrialRequest(request, run, CALL_SECONDS), now).verdict
+        )
         if verdict is Verdict.RUN_ALONE:
             self._alone.add(run)
         return verdict
@@ -187,22 +189,22 @@
         if not on_trial and self._recent[here].excuses(_identity(request), now):
             return
         report = EndReport(request, 1, '', EngineEnd(engine, on_trial))
-        self._boxes[here].ended(report, now)
-        self._boxes[0].ended(report, now)
-        self._boxes[0].over(TrialOver(request, run, False), now)
-        self._boxes[here].merge(self._boxes[0].shared(now), now)
+        self._boxes[here].record_end(report, now)
+        self._boxes[0].record_end(report, now)
+        self._boxes[0].record_trial_result(TrialResult(request, run, False), now)
+        self._boxes[here].merge(self._boxes[0].shared_cases(now), now)
         self._tell(now)
 
     def ended_well(self, request: str, run: str, here: int, now: float) -> None:
         """One that ran alone is cleared."""
-        self._recent[here].ended_well(_identity(request), now)
+        self._recent[here].record_success(_identity(request), now)
         if self._boxes[here].standing(request, now) is Standing.SUSPECT:
-            self._boxes[0].over(TrialOver(request, run, True), now)
-            self._boxes[here].merge(self._boxes[0].shared(now), now)
+            self._boxes[0].record_trial_result(TrialResult(request, run, True), now)
+            self._boxes[here].merge(self._boxes[0].shared_cases(now), now)
             self._tell(now)
 
     def _tell(self, now: float) -> None:
-        cases = self._boxes[0].shared(now)
+        cases = self._boxes[0].shared_cases(now)
         self._news += [News(now + HEARD_SECONDS, box, cases) for box in range(1, BOXES)]
 
 
--- a/models/leaving.py
+++ b/models/leaving.py
@@ -45,7 +45,7 @@
     view = EngineView()
     for listing in told:
         if listing.phase is Phase.SUSPECT:
-            view.leaving(ENGINE, listing.incarnation)
+            view.mark_leaving(ENGINE, listing.incarnation)
             continue
         if variant == 'a list overrides what was learned':
             view = EngineView()
--- a/models/quarantine.py
+++ b/models/quarantine.py
@@ -57,7 +57,7 @@
     quarantine = Quarantine()
     for end in known:
         told = EngineEnd(end.engine, end.on_trial)
-        quarantine.ended(EndReport(REQUEST, 1, 'workspace', told), 0.0)
+        quarantine.record_end(EndReport(REQUEST, 1, 'workspace', told), 0.0)
     return quarantine.standing(REQUEST, 0.0)
 
 
--- a/packages/peers/seamhold_peers/client.py
+++ b/packages/peers/seamhold_peers/client.py
@@ -10,7 +10,7 @@
 from seamhold_attempts.claims import ClaimState
 from seamhold_messages.errors import ClaimsUnavailable, TicketUnreachable
 from seamhold_messages.work import Holding
-from seamhold_quarantine import Case, EndReport, Permission, TrialAsk, TrialOver
+from seamhold_quarantine import Case, EndReport, Permission, TrialRequest, TrialResult
 from seamhold_settings.versions import Candidate
 
 from . import codec
@@ -102,12 +102,12 @@
         async with asyncio.timeout(TRIAL_SECONDS):
             return await self._stub.engine_ended(report)
 
-    async def ask_trial(self, ask: TrialAsk) -> Permission:
+    async def ask_trial(self, ask: TrialRequest) -> Permission:
         """Ask whether a suspect may run now; raises one of BROKEN."""
         async with asyncio.timeout(ASK_SECONDS):
             return await self._stub.ask_trial(ask)
 
-    async def end_trial(self, over: TrialOver) -> None:
+    async def end_trial(self, over: TrialResult) -> None:
         """Tell that a suspect's run is over; nobody waits for it; raises one of BROKEN."""
         async with asyncio.timeout(PULL_SECONDS):
             await self._stub.end_trial(over)
--- a/packages/peers/seamhold_peers/digest_codec.py
+++ b/packages/peers/seamhold_peers/digest_codec.py
@@ -125,7 +125,7 @@
         digest.leaving,
         digest.store_lost,
         digest.settings_total,
-        digest.settings_print,
+        digest.settings_fingerprint,
         digest.engines_version,
         digest.boxes_version,
         _load_columns(digest.loads),
@@ -138,8 +138,8 @@
         None if digest.store_age is None else age_steps(digest.store_age),
         heartbeat_columns(digest.watchers),
     )
-    if digest.cases_print:
-        longest = (digest.evacuations_version, digest.cases_print)
+    if digest.cases_fingerprint:
+        longest = (digest.evacuations_version, digest.cases_fingerprint)
         part = LongestDigestPart(*astuple(part), *longest)
     elif digest.evacuations_version:
         part = LongDigestPart(*astuple(part), digest.evacuations_version)
--- a/packages/peers/seamhold_peers/server.py
+++ b/packages/peers/seamhold_peers/server.py
@@ -10,7 +10,7 @@
 from seamhold_attempts.claims import ClaimState
 from seamhold_messages.errors import SeamholdError
 from seamhold_messages.work import Holding
-from seamhold_quarantine import Case, EndReport, Permission, TrialAsk, TrialOver
+from seamhold_quarantine import Case, EndReport, Permission, TrialRequest, TrialResult
 from seamhold_settings.versions import Candidate
 
 from . import codec
@@ -45,10 +45,10 @@
     async def engine_ended(self, report: EndReport) -> codec.EndsKnown:
         """An engine ended under a request; what this box knows of it."""
 
-    async def ask_trial(self, ask: TrialAsk) -> Permission:
+    async def ask_trial(self, ask: TrialRequest) -> Permission:
         """Whether a suspect may run now."""
 
-    async def end_trial(self, over: TrialOver) -> None:
+    async def end_trial(self, over: TrialResult) -> None:
         """A suspect's run is over."""
 
 
@@ -90,8 +90,8 @@
             Path.PULL_CASES: Handler(self.pull_cases, one, codec.CasesWanted, codec.CasesPage),
             Path.TELL_CASES: Handler(self.tell_cases, one, codec.CasesPage, codec.Heard),
             Path.ENGINE_ENDED: Handler(self.engine_ended, one, EndReport, codec.EndsKnown),
-            Path.ASK_TRIAL: Handler(self.ask_trial, one, TrialAsk, Permission),
-            Path.END_TRIAL: Handler(self.end_trial, one, TrialOver, codec.Heard),
+            Path.ASK_TRIAL: Handler(self.ask_trial, one, TrialRequest, Permission),
+            Path.END_TRIAL: Handler(self.end_trial, one, TrialResult, codec.Heard),
         }
 
     async def pull_settings(self, stream) -> None:
--- a/packages/peers/seamhold_peers/service.py
+++ b/packages/peers/seamhold_peers/service.py
@@ -4,7 +4,7 @@
 
 from grpclib.client import Channel, UnaryStreamMethod, UnaryUnaryMethod
 
-from seamhold_quarantine import EndReport, Permission, TrialAsk, TrialOver
+from seamhold_quarantine import EndReport, Permission, TrialRequest, TrialResult
 
 from . import codec
 from .calls import ClaimAsk, RelayedCall
@@ -45,5 +45,5 @@
         )
         self.tell_cases = UnaryUnaryMethod(channel, Path.TELL_CASES, codec.CasesPage, codec.Heard)
         self.engine_ended = UnaryUnaryMethod(channel, Path.ENGINE_ENDED, EndReport, codec.EndsKnown)
-        self.ask_trial = UnaryUnaryMethod(channel, Path.ASK_TRIAL, TrialAsk, Permission)
-        self.end_trial = UnaryUnaryMethod(channel, Path.END_TRIAL, TrialOver, codec.Heard)
+        self.ask_trial = UnaryUnaryMethod(channel, Path.ASK_TRIAL, TrialRequest, Permission)
+        self.end_trial = UnaryUnaryMethod(channel, Path.END_TRIAL, TrialResult, codec.Heard)
--- a/packages/router/seamhold/case_answers.py
+++ b/packages/router/seamhold/case_answers.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from seamhold_peers import CasesPage, EndsKnown
-from seamhold_quarantine import Case, EndReport, Permission, TrialAsk, TrialOver
+from seamhold_quarantine import Case, EndReport, Permission, TrialRequest, TrialResult
 
 from .background import answer_of
 from .decider import Decider
@@ -30,10 +30,10 @@
         """An engine ended at a peer; what this box knows of the request."""
         return await asyncio.wrap_future(self._decider.ask(HearEnd(report)))
 
-    async def ask_trial(self, ask: TrialAsk) -> Permission:
+    async def ask_trial(self, ask: TrialRequest) -> Permission:
         """Whether a suspect may run now at a peer."""
         return await asyncio.wrap_future(self._decider.ask(AskTrial(ask)))
 
-    async def end_trial(self, over: TrialOver) -> None:
+    async def end_trial(self, over: TrialResult) -> None:
         """A suspect's run at a peer is over."""
         self._decider.send(EndTrial(over))
--- a/packages/router/seamhold/case_keeper.py
+++ b/packages/router/seamhold/case_keeper.py
@@ -51,11 +51,11 @@
         self.handlers = {
             EngineEnded: self._engine_ended,
             HearEnd: self._hear_end,
-            AskTrial: lambda message: self._quarantine.ask(message.ask, self._clock()),
+            AskTrial: lambda message: self._quarantine.request_trial(message.ask, self._clock()),
             EndTrial: self._end_trial,
             WantStanding: self._standing,
             WantCase: lambda message: self._quarantine.case(message.request, self._clock()),
-            WantCases: lambda _: self._quarantine.shared(self._clock()),
+            WantCases: lambda _: self._quarantine.shared_cases(self._clock()),
             HearCases: self._hear_cases,
             LiftCase: self._lift_case,
         }
@@ -81,7 +81,7 @@
                 len(case.ends),
                 round(quarantine.rest(case.request, now), 1),
             )
-            for case in quarantine.shared(now)
+            for case in quarantine.shared_cases(now)
         )
 
     def _engine_ended(self, message: EngineEnded) -> EndCounted:
@@ -90,13 +90,13 @@
         self._tell()
         if report is None or message.excused:
             return EndCounted()
-        ends = self._quarantine.ended(report, now)
+        ends = self._quarantine.record_end(report, now)
         self._note(report.request, ends)
         return EndCounted(ends, report)
 
     def _hear_end(self, message: HearEnd) -> EndsKnown:
         request = message.report.request
-        ends = self._quarantine.ended(message.report, self._clock())
+        ends = self._quarantine.record_end(message.report, self._clock())
         self._note(request, ends)
         return EndsKnown(ends, self._quarantine.shared_case(request, self._clock()))
 
@@ -126,7 +126,7 @@
 
     def _end_trial(self, message: EndTrial) -> None:
         over = message.over
-        self._quarantine.over(over, self._clock())
+        self._quarantine.record_trial_result(over, self._clock())
         if over.well:
             self._tell_case(over.request)
 
@@ -138,7 +138,7 @@
         return Permission(VERDICTS[standing], self._quarantine.rest(message.request, now))
 
     def _may_risk(self, message: WantStanding, now: float) -> bool:
-        ended = self._quarantine.lately_ended(message.request, now)
+        ended = self._quarantine.recently_ended(message.request, now)
         return self._router.may_risk(message.service, ended, now)
 
     def _hear_cases(self, message: HearCases) -> None:
--- a/packages/router/seamhold/case_store.py
+++ b/packages/router/seamhold/case_store.py
@@ -19,7 +19,7 @@
 from seamhold_messages.errors import PlatformConflict, PlatformNotFound, SeamholdError
 from seamhold_placement.rank import owners
 from seamhold_platform import ObjectKind, PlatformObject
-from seamhold_quarantine import SUSPECT_ENDS, Case, EngineEnd, is_over
+from seamhold_quarantine import SUSPECT_ENDS, Case, EngineEnd, is_expired
 
 from .clock import boot_seconds
 from .decider import Decider
@@ -190,7 +190,7 @@
 
     def _is_over(self, item: PlatformObject) -> bool:
         try:
-            return is_over(from_object(item, self._unix_time()))
+            return is_expired(from_object(item, self._unix_time()))
         except (ValueError, msgspec.ValidationError):
             # Another's writing; said when it was read.
             return False
--- a/packages/router/seamhold/decider.py
+++ b/packages/router/seamhold/decider.py
@@ -191,7 +191,7 @@
                 sign=belief.sign,
                 listed=engine.phase if engine else None,
             )
-        taken = self._router.events.taken
+        taken = self._router.events.accepted
         if taken != self._events_taken:
             self._events_taken = taken
             self._tell_news()
--- a/packages/router/seamhold/decisions.py
+++ b/packages/router/seamhold/decisions.py
@@ -6,7 +6,7 @@
 from seamhold_membership import Digest
 from seamhold_messages.fleet import Box, Engine, Evacuation, Phase
 from seamhold_messages.work import Call, Holding
-from seamhold_quarantine import Case, EndReport, Standing, TrialAsk, TrialOver
+from seamhold_quarantine import Case, EndReport, Standing, TrialRequest, TrialResult
 from seamhold_settings import Tree
 
 from .tasks import Ask
@@ -102,13 +102,13 @@
 class AskTrial(Ask):
     """Whether a request may run now; answered by Permission."""
 
-    ask: TrialAsk
+    ask: TrialRequest
 
 
 class EndTrial(Struct):
     """A run of a suspect is over."""
 
-    over: TrialOver
+    over: TrialResult
 
 
 class WantStanding(Ask):
--- a/packages/router/seamhold/peer_pulls.py
+++ b/packages/router/seamhold/peer_pulls.py
@@ -115,9 +115,9 @@
     def has_other_cases(self, digest: Digest) -> bool:
         """Whether a peer may know more of requests that end engines."""
         here = self._decider.cases.fingerprint
-        if digest.cases_print in (0, here):
+        if digest.cases_fingerprint in (0, here):
             return False
-        compared = _Compared(digest.cases_print, here)
+        compared = _Compared(digest.cases_fingerprint, here)
         return self._compared_cases.get(digest.box) != compared
 
     async def take_cases(self, client: PeerClient) -> None:
@@ -147,7 +147,7 @@
         try:
             await self.take_cases(client)
             self._compared_cases[box] = _Compared(
-                digest.cases_print, self._decider.cases.fingerprint
+                digest.cases_fingerprint, self._decider.cases.fingerprint
             )
         except BROKEN:
             self._metrics.count('cases.pull_failed')
@@ -158,7 +158,7 @@
         """Whether a peer has settings in force that this box may lack."""
         mine = self._keeper.snapshot
         if digest.settings_total == mine.total:
-            return digest.settings_print != mine.fingerprint
+            return digest.settings_fingerprint != mine.fingerprint
         return digest.settings_total > mine.total
 
     async def settings_of(self, box: str, client: PeerClient) -> None:
--- a/packages/router/seamhold/peering.py
+++ b/packages/router/seamhold/peering.py
@@ -323,7 +323,7 @@
     def _within_budget(self, peers: int) -> int:
         """How many digests the budget is likely to allow now, one at least."""
         now = self._environment.monotonic()
-        return max(1, min(peers, self.budget.left(now) // self._mean_digest_bytes))
+        return max(1, min(peers, self.budget.available(now) // self._mean_digest_bytes))
 
     async def _tell(self, names: list[str]) -> bool:
         """Tell some peers; False if the budget does not allow it."""
--- a/packages/router/seamhold/runner.py
+++ b/packages/router/seamhold/runner.py
@@ -21,7 +21,7 @@
     error_from,
 )
 from seamhold_messages.work import Placed, Refused
-from seamhold_quarantine import SUSPECT_ENDS, TrialAsk
+from seamhold_quarantine import SUSPECT_ENDS, TrialRequest
 
 from .budgets import RetryBudgets
 from .context import Environment
@@ -100,7 +100,7 @@
         if not self._trials.is_watched(identity):
             return
         seconds = self._remaining(job)
-        ask = TrialAsk(identity.digest, job.call.id, seconds)
+        ask = TrialRequest(identity.digest, job.call.id, seconds)
         job.on_trial = self._trials.permit(
             ask, job.call.service, min(patience, seconds), job.cancellation
         )
--- a/packages/router/seamhold/trials.py
+++ b/packages/router/seamhold/trials.py
@@ -26,8 +26,8 @@
     Permission,
     RecentRuns,
     RequestIdentity,
-    TrialAsk,
-    TrialOver,
+    TrialRequest,
+    TrialResult,
     Verdict,
 )
 
@@ -76,7 +76,7 @@
         """An engine answered a request."""
         now = self._environment.monotonic()
         with self._lock:
-            self._recent.ended_well(identity, now)
+            self._recent.record_success(identity, now)
         if self.is_watched(identity):
             self._clear(identity.digest)
 
@@ -101,7 +101,7 @@
         return bool(scopes) and identity.scope in scopes
 
     def permit(
-        self, ask: TrialAsk, service: str, patience: float, cancellation: Cancellation
+        self, ask: TrialRequest, service: str, patience: float, cancellation: Cancellation
     ) -> bool:
         """Whether a request that may run runs alone; waits `patience` seconds for its turn.
 
@@ -127,7 +127,7 @@
                 )
             self._environment.sleep(LOOK_SECONDS)
 
-    def _permission(self, ask: TrialAsk, service: str, is_late: bool) -> Permission:
+    def _permission(self, ask: TrialRequest, service: str, is_late: bool) -> Permission:
         here = self._decider.ask(WantStanding(ask.request, service)).result()
         if here.verdict is not Verdict.ASK:
             return here
@@ -145,7 +145,7 @@
             return Permission(Verdict.RUN_ALONE)
         return self._decider.ask(AskTrial(ask)).result()
 
-    def _owner_says(self, client: PeerClient | None, ask: TrialAsk) -> Permission | None:
+    def _owner_says(self, client: PeerClient | None, ask: TrialRequest) -> Permission | None:
         """What one of the boxes that decide says, None where that tells nothing.
 
         One that is slow may have let another run begin, and one that has not heard of the ends
@@ -229,7 +229,7 @@
 
     def over(self, request: str, run: str, well: bool) -> None:
         """A run that was alone is over; `well` tells that its engine answered it."""
-        over = TrialOver(request, run, well)
+        over = TrialResult(request, run, well)
         self._decider.send(EndTrial(over))
         for client in self._owners(request):
             if client is not None:
--- a/packages/routing/seamhold_routing/calls.py
+++ b/packages/routing/seamhold_routing/calls.py
@@ -68,7 +68,7 @@
 
     def engine_uses(self, now: float) -> list[ServiceUse]:
         """How many engines of each service that calls were for get new work."""
-        return [self._known.engines.use(name, now) for name in self._services]
+        return [self._known.engines.service_use(name, now) for name in self._services]
 
     def use_settings(self, tree: Tree) -> None:
         """Put a tree in force; calls in flight go on."""
--- a/packages/routing/seamhold_routing/exchange.py
+++ b/packages/routing/seamhold_routing/exchange.py
@@ -84,11 +84,11 @@
     def hear(self, digest: Digest, now: float) -> None:
         """A peer told its state."""
         known = self._known
-        if known.boxes.heard(digest.box, digest.incarnation, now, digest.store_lost):
+        if known.boxes.record_message(digest.box, digest.incarnation, now, digest.store_lost):
             self._sender.forget(digest.box)
             known.limits.peer_forgot(digest.box)
-        self._sender.heard(digest.box, digest.ack)
-        whole = self._receiver.hear(digest)
+        self._sender.record_ack(digest.box, digest.ack)
+        whole = self._receiver.receive(digest)
         if whole is not None:
             known.loads.set_peer(digest.box, whole.loads)
             known.limits.set_peer(digest.box, whole.usage, whole.ack)
@@ -105,7 +105,7 @@
         now on, since it is acknowledged from now on.
         """
         for name in names:
-            heard = self._receiver.latest(name)
+            heard = self._receiver.latest_state(name)
             if heard is not None:
                 self._known.limits.set_peer(name, heard.usage, heard.ack)
 
@@ -157,7 +157,7 @@
         if not report.incarnation_key:
             return
         suspect = Suspect(report.engine, report.incarnation_key)
-        if known.engines.reported_failing(suspect, report.origin, now):
+        if known.engines.record_peer_suspicion(suspect, report.origin, now):
             known.beliefs.append(Belief(suspect.engine, Phase.SUSPECT, report.origin, Sign.TOLD))
 
     def note(self, event: Event, now: float, sign: Sign = Sign.TOLD) -> None:
@@ -168,11 +168,11 @@
         known.counts[f'event.{event.kind.name.lower()}'] += 1
         known.beliefs.append(belief_from(event, sign))
         if event.kind is EventKind.ENGINE_LEAVING:
-            known.engines.leaving(event.subject, event.incarnation)
+            known.engines.mark_leaving(event.subject, event.incarnation)
         elif event.kind is EventKind.BOX_LEAVING:
-            known.boxes.leaving(event.subject, event.incarnation)
+            known.boxes.mark_leaving(event.subject, event.incarnation)
         elif event.kind is EventKind.BOX_GONE:
-            known.boxes.reported_gone(event.subject, event.origin, now)
+            known.boxes.record_gone_report(event.subject, event.origin, now)
 
     def forget_silent(self, now: float) -> None:
         """What silent neighbours told is void; the others may have to hear of it."""
@@ -214,14 +214,14 @@
             loads=known.loads.own(),
             usage=known.limits.usage(now),
             settings_total=versions.settings_total,
-            settings_print=versions.settings_print,
+            settings_fingerprint=versions.settings_print,
             events=known.events.pending(EVENTS_PER_DIGEST),
             engines_version=versions.engines,
             boxes_version=versions.boxes,
             evacuations_version=versions.evacuations,
             store_lost=versions.store_lost,
             learned=len(known.holders.learned),
-            cases_print=known.quarantine.fingerprint,
+            cases_fingerprint=known.quarantine.fingerprint,
             store_age=None if self.store_seen_at is None else now - self.store_seen_at,
         )
         if self.watching:
@@ -231,7 +231,7 @@
         return [self._digest_for(peer, truth, now) for peer in peers]
 
     def _digest_for(self, peer: str, truth: Digest, now: float) -> Digest:
-        message = self._sender.next_for(peer, truth, self._receiver.last(peer))
+        message = self._sender.next_for(peer, truth, self._receiver.last_seq(peer))
         # Counted as told even if it is not sent: that only delays a share.
         self._known.limits.digest_sent(peer, message.seq, truth.usage)
         return self._relaying.attached_to(message, now)
@@ -240,4 +240,4 @@
         """Messages went out."""
         self._known.loads.digest_sent()
         for digest in digests:
-            self._known.events.relayed(digest.events)
+            self._known.events.record_relayed(digest.events)
--- a/packages/routing/seamhold_routing/health.py
+++ b/packages/routing/seamhold_routing/health.py
@@ -66,30 +66,32 @@
         if outcome in COMPARED:
             self._failed(engine, now)
         if outcome is Outcome.DONE:
-            self._engines.answered(engine)
+            self._engines.record_answer(engine)
             return False
         evidence = EVIDENCE.get(outcome)
         answered = outcome is Outcome.MISDIRECTED
-        if evidence is None or not self._engines.failed(engine, now, evidence, answered):
+        if evidence is None or not self._engines.record_failure(engine, now, evidence, answered):
             return False
         self._untold[engine] = None
         return True
 
     def _failed(self, engine: str, now: float) -> None:
-        self.failures.failed(engine, now)
+        self.failures.record_failure(engine, now)
         self._untold[engine] = None
 
     def new_reports(self, box: str, now: float) -> list[FailureReport]:
         """What this box, `box`, met since it was asked last, by engine."""
         untold, self._untold = self._untold, {}
         return [
-            self.failures.report(box, engine, now, self._engines.suspicion(engine, now))
+            self.failures.report(
+                box, engine, now, self._engines.suspect_incarnation_key(engine, now)
+            )
             for engine in untold
         ]
 
     def heard(self, report: FailureReport, now: float) -> bool:
         """Another box's report; False if it is not news."""
-        return self.failures.heard(report, now)
+        return self.failures.record_report(report, now)
 
     def next_late(self) -> float:
         """When the next engine is late with its answer, infinity if none can be."""
--- a/packages/routing/seamhold_routing/relaying.py
+++ b/packages/routing/seamhold_routing/relaying.py
@@ -5,7 +5,7 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from seamhold_membership import Digest, RelayLog
+from seamhold_membership import Digest, GossipBuffer
 from seamhold_messages.work import FailureReport, Holding, LoadReading, WatcherHeartbeat
 
 #: Readings of engines' load that one digest carries at most, 7 bytes each: at 8 KB a
@@ -40,10 +40,10 @@
     """The news that waits to be passed on, whichever box it came from."""
 
     def __init__(self):
-        self._readings: RelayLog[str, _Dated[LoadReading]] = RelayLog()
-        self._reports: RelayLog[tuple[str, str], _Dated[FailureReport]] = RelayLog()
-        self._heartbeats: RelayLog[str, _Dated[WatcherHeartbeat]] = RelayLog()
-        self._holdings: RelayLog[Holding, Holding] = RelayLog()
+        self._readings: GossipBuffer[str, _Dated[LoadReading]] = GossipBuffer()
+        self._reports: GossipBuffer[tuple[str, str], _Dated[FailureReport]] = GossipBuffer()
+        self._heartbeats: GossipBuffer[str, _Dated[WatcherHeartbeat]] = GossipBuffer()
+        self._holdings: GossipBuffer[Holding, Holding] = GossipBuffer()
 
     def put_reading(self, reading: LoadReading, now: float) -> None:
         """Pass on what an engine told."""
--- a/packages/routing/seamhold_routing/router.py
+++ b/packages/routing/seamhold_routing/router.py
@@ -153,7 +153,7 @@
         ended = self.engines.get(engine.name) or self._started_again(engine)
         if ended is None or self.engines.phase(ended.name, now) is Phase.LEAVING:
             return None
-        if self.engines.failed(ended.name, now):
+        if self.engines.record_failure(ended.name, now):
             self.beliefs.append(Belief(ended.name, Phase.SUSPECT, self.box, Sign.CALL))
         return replace(report, end=replace(report.end, engine=hash64(ended.name)))
 
@@ -162,7 +162,7 @@
 
         A call that was meant for the start before runs there.
         """
-        return self.engines.at(engine.address)
+        return self.engines.engine_at(engine.address)
 
     def may_risk(self, service: str, ended: frozenset[int], now: float) -> bool:
         """Whether an engine of a service may be lost to a request that is a suspect.
--- a/scenarios/mutants.py
+++ b/scenarios/mutants.py
@@ -230,7 +230,7 @@
     Mutant(
         'what operators lift stays',
         'quarantine/seamhold_quarantine/case.py',
-        'if met.at > self.cleared_at and explained.get(key, 0) <= len(self.ends)',
+        'if end.at > self.cleared_at and explained.get(key, 0) <= len(self.ends)',
         'if explained.get(key, 0) <= len(self.ends)',
         'Operators lift it',
     ),
--- a/tests/test_avoided_engines.py
+++ b/tests/test_avoided_engines.py
@@ -24,12 +24,12 @@
         self.assertEqual({'a'}, self.avoided())
 
     def test_one_that_lost_answers_lives(self):
-        self.view.failed('a', 0.0, 0.5)
-        self.view.failed('a', 0.0, 0.5)
+        self.view.record_failure('a', 0.0, 0.5)
+        self.view.record_failure('a', 0.0, 0.5)
         self.assertEqual({'a'}, self.avoided())
 
     def test_one_that_refuses_connections_does_not(self):
-        self.view.failed('a', 0.0)
+        self.view.record_failure('a', 0.0)
         self.assertEqual(set(), self.avoided())
 
     def test_one_that_says_it_is_not_the_one_expected_lives(self):
@@ -55,11 +55,11 @@
 
     def test_one_that_refuses_connections_is_not_counted_in_the_limit(self):
         self.view.max_ejection_share = 1 / 3
-        self.view.failed('a', 0.0)
+        self.view.record_failure('a', 0.0)
         self.view.eject('b', 0.0)
         self.assertEqual({'c'}, set(self.view.serving(SERVICE, 0.0).engines))
 
     def test_it_is_served_again_once_it_answers(self):
-        self.view.failed('a', 0.0)
-        self.view.answered('a')
+        self.view.record_failure('a', 0.0)
+        self.view.record_answer('a')
         self.assertEqual(set('abc'), set(self.view.serving(SERVICE, 0.0).engines))
--- a/tests/test_engine_uses.py
+++ b/tests/test_engine_uses.py
@@ -33,20 +33,22 @@
     def test_each_reason_is_counted(self):
         view = view_of(Phase.LEAVING, *[Phase.LIVE] * 6)
         view.set_evacuated(frozenset({'e1'}), 0.0)
-        view.failed('e2', 0.0)
-        view.failed('e3', 0.0, 0.5)
-        view.failed('e3', 0.0, 0.5)
+        view.record_failure('e2', 0.0)
+        view.record_failure('e3', 0.0, 0.5)
+        view.record_failure('e3', 0.0, 0.5)
         view.eject('e4', 0.0)
         for box in ('a', 'b', 'c'):
-            view.reported_failing(Suspect('e5', hash32('1')), box, 0.0)
-        use = view.use(SERVICE, 0.1)
+            view.record_peer_suspicion(Suspect('e5', hash32('1')), box, 0.0)
+        use = view.service_use(SERVICE, 0.1)
         self.assertEqual(1, use.used)
         self.assertEqual(dict.fromkeys(UnusedReason, 1), use.unused)
 
     def test_suspects_that_serve_since_nobody_else_does_are_in_use(self):
         view = view_of(Phase.LIVE)
-        view.failed('e0', 0.0)
-        self.assertEqual((1, {}), (view.use(SERVICE, 0.1).used, view.use(SERVICE, 0.1).unused))
+        view.record_failure('e0', 0.0)
+        self.assertEqual(
+            (1, {}), (view.service_use(SERVICE, 0.1).used, view.service_use(SERVICE, 0.1).unused)
+        )
 
 
 class TestTelling(testtools.TestCase):
@@ -58,7 +60,7 @@
         self.uses = EngineUses(self.metrics)
 
     def note(self, *phases: Phase) -> None:
-        self.uses.note([view_of(*phases).use(SERVICE, 0.0)])
+        self.uses.note([view_of(*phases).service_use(SERVICE, 0.0)])
 
     def test_a_service_is_told_once_when_more_than_a_third_is_unused_and_once_after(self):
         for _ in range(2):
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -75,7 +75,7 @@
     def test_also_where_all_others_are_suspect(self):
         self.evacuate('a', now=1.0)
         for name in ('b1', 'b2'):
-            self.router.engines.failed(name, 1.0)
+            self.router.engines.record_failure(name, 1.0)
         self.assertEqual({'b'}, self.domains_of(1.1, 20))
 
     def test_where_no_engine_is_left_calls_are_refused_at_once(self):
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -9,8 +9,8 @@
 
 from seamhold.decider import Decider
 from seamhold.decisions import KnowledgeReport, WantReport
-from seamhold_membership import Digest, RelayLog
-from seamhold_membership.relay import WAITING_MAX
+from seamhold_membership import Digest, GossipBuffer
+from seamhold_membership.relay import PENDING_UPDATES_MAX
 from seamhold_messages.fleet import Box, Engine, Phase
 from seamhold_messages.work import Call, FailureReport, LoadReading, Placed, WatcherHeartbeat, Work
 from seamhold_peers import DigestReader, EncodedDigest, NameTable
@@ -24,7 +24,7 @@
 
 class TestRelayLog(testtools.TestCase):
     def test_news_is_told_some_times_the_newest_first(self):
-        log = RelayLog(times=2)
+        log = GossipBuffer(times=2)
         log.put('a', 1)
         log.put('b', 2)
         self.assertEqual([2], log.take(1))
@@ -33,23 +33,23 @@
         self.assertEqual([], log.take(9))
 
     def test_newer_news_takes_the_place_of_what_waits(self):
-        log = RelayLog(times=2)
+        log = GossipBuffer(times=2)
         log.put('a', 1)
         log.take(1)
         log.put('a', 2)
         self.assertEqual([[2], [2], []], [log.take(9) for _ in range(3)])
 
     def test_no_more_waits_than_it_may(self):
-        log = RelayLog()
-        for number in range(WAITING_MAX + 10):
+        log = GossipBuffer()
+        for number in range(PENDING_UPDATES_MAX + 10):
             log.put(number, number)
-        self.assertEqual(WAITING_MAX, len(log))
-        self.assertEqual([WAITING_MAX + 9], log.take(1))
+        self.assertEqual(PENDING_UPDATES_MAX, len(log))
+        self.assertEqual([PENDING_UPDATES_MAX + 9], log.take(1))
 
     def test_nearly_all_boxes_hear_of_it(self):
         chance = random.Random(1)
         for boxes in (8, 30, 87, 195, 600):
-            logs = [RelayLog() for _ in range(boxes)]
+            logs = [GossipBuffer() for _ in range(boxes)]
             logs[0].put('news', 'news')
             knowing = {0}
             while any(len(log) for log in logs):
@@ -280,7 +280,7 @@
             call = Call(router.box, 'w', 's', 'chat', Work(1, 1), 9.0)
             (placed,) = router.admit(call, 1.0)
             self.assertIsInstance(placed, Placed)
-            router.engines.failed('e1', 1.0)
+            router.engines.record_failure('e1', 1.0)
             router.health._untold['e1'] = None
         self.pass_along(1.1)
         self.assertEqual(Phase.SUSPECT, self.routers[3].engines.phase('e1', 1.2))
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -12,7 +12,7 @@
 from seamhold.ports import PromptPart
 from seamhold.telling import TellingOrder
 from seamhold_attempts.retry import Outcome
-from seamhold_membership.relay import RELAY_TIMES
+from seamhold_membership.relay import TRANSMITS_PER_UPDATE
 from seamhold_messages.fleet import Box, Engine, Phase
 from seamhold_messages.work import Call, Placed, Work
 from seamhold_peers import FleetLists
@@ -132,8 +132,8 @@
         router.set_engines(self.engines('e1'), 0.0)
         for number in (1, 2):
             self.place(router, number, number / 10)
-        told = [len(one_digest(router, 0.3).held) for _ in range(RELAY_TIMES + 1)]
-        self.assertEqual([1] * RELAY_TIMES + [0], told)
+        told = [len(one_digest(router, 0.3).held) for _ in range(TRANSMITS_PER_UPDATE + 1)]
+        self.assertEqual([1] * TRANSMITS_PER_UPDATE + [0], told)
 
     def test_much_news_goes_out_in_parts_and_all_of_it(self):
         router = Router('box', 'x')
