--- a/measure/policies.py
+++ b/measure/policies.py
@@ -81,7 +81,7 @@
 
     def make_chooser(self, seed: int):
         """The rule, as a router takes it."""
-        drawn = partial(choose, chance=random.Random(seed))
+        drawn = partial(choose, rng=random.Random(seed))
         rules = {'bound': drawn, 'hash': hash_alone, 'least': least_loaded}
         return rules.get(self.chooser) or TwoRandom(seed)
 
--- a/packages/router/seamhold/decider.py
+++ b/packages/router/seamhold/decider.py
@@ -262,7 +262,7 @@
         self._deliver(decisions)
 
     def _hear_holdings(self, message: HearHoldings) -> None:
-        self._router.holders.heard(message.held, self._clock())
+        self._router.holders.record_holdings(message.held, self._clock())
 
     def _learn_holdings(self, message: LearnHoldings) -> None:
         self._router.holders.learn(message.engine, message.chats, self._clock())
@@ -270,7 +270,7 @@
         self._tell_news()
 
     def _lists(self, message: WantLists) -> FleetLists:
-        held = self._router.holders.all(self._clock()) if message.holdings else ()
+        held = self._router.holders.current_holdings(self._clock()) if message.holdings else ()
         return FleetLists(
             self.engines.items or [],
             self.boxes.items or [],
--- a/packages/routing/seamhold_routing/calls.py
+++ b/packages/routing/seamhold_routing/calls.py
@@ -153,7 +153,7 @@
         self._known.health.began(call_id)
         active = self._active.get(call_id)
         if active is not None and active.sent_at is not None:
-            self._known.loads.answered(active.engine, active.sent_at, now)
+            self._known.loads.record_answer(active.engine, active.sent_at, now)
             active.sent_at = None
 
     def attempted(self, call_id: str, outcome: Outcome, now: float) -> list[Decision]:
--- a/packages/routing/seamhold_routing/exchange.py
+++ b/packages/routing/seamhold_routing/exchange.py
@@ -86,7 +86,7 @@
         known = self._known
         if known.boxes.heard(digest.box, digest.incarnation, now, digest.store_lost):
             self._sender.forget(digest.box)
-            known.limits.peer_forgot(digest.box)
+            known.limits.reset_peer(digest.box)
         self._sender.heard(digest.box, digest.ack)
         whole = self._receiver.hear(digest)
         if whole is not None:
@@ -111,7 +111,7 @@
 
     def _take_news(self, digest: Digest, now: float) -> None:
         """Believe what the peer passed on, and pass on what is new here."""
-        for holding in self._known.holders.told(digest.held, now):
+        for holding in self._known.holders.record_updates(digest.held, now):
             self._relaying.put_holding(holding)
         for reading in digest.readings:
             self._note_load(reading, now, NEWER_SECONDS)
@@ -137,7 +137,7 @@
 
     def placed(self, chat: str, engine: str, now: float) -> None:
         """This box sent a call of `chat` to `engine`, which reads it."""
-        holding = self._known.holders.placed(chat, engine, now)
+        holding = self._known.holders.record_placement(chat, engine, now)
         if holding is not None:
             self._relaying.put_holding(holding)
 
@@ -146,7 +146,7 @@
         self._note_load(reading, now, newer_by=0.0)
 
     def _note_load(self, reading: LoadReading, now: float, newer_by: float) -> None:
-        if self._known.loads.read(reading, now, newer_by):
+        if self._known.loads.apply_reading(reading, now, newer_by):
             self._relaying.put_reading(reading, now)
 
     def _hear_of_failures(self, report: FailureReport, now: float) -> None:
@@ -211,7 +211,7 @@
             self._box,
             self._incarnation,
             leaving=self.leaving,
-            loads=known.loads.own(),
+            loads=known.loads.own_loads(),
             usage=known.limits.usage(now),
             settings_total=versions.settings_total,
             settings_print=versions.settings_print,
--- a/packages/routing/seamhold_routing/router.py
+++ b/packages/routing/seamhold_routing/router.py
@@ -77,7 +77,7 @@
         self._calls = BoxCalls(
             known,
             self.exchange,
-            chooser or partial(choose, chance=random.Random(incarnation)),
+            chooser or partial(choose, rng=random.Random(incarnation)),
             failure_domain,
             self._cold_shares,
         )
@@ -220,7 +220,7 @@
         """Expire what waited too long and forget boxes that went silent."""
         self.boxes.silent_seconds = box_silent_seconds(self.boxes, self.tree.fleet.control)
         self.loads.expire(now)
-        self._cold_shares.forget(now)
+        self._cold_shares.prune(now)
         if now >= self._forget_cases_at:
             self._forget_cases_at = now + FORGET_CASES_SECONDS
             self.quarantine.forget(now)
--- a/packages/routing/seamhold_routing/service.py
+++ b/packages/routing/seamhold_routing/service.py
@@ -104,14 +104,14 @@
             self._names = self._in_order(self._ranking.order(self._chat))
         name = self._names[position]
         engine = self._serving.engines[name]
-        load = self._loads.known(name)
+        load = self._loads.known_load(name)
         if name in self._full:
             load = Work(max(load.requests, engine.slots), load.tokens)
         holds, near = name in self._holders, name in self._near
         if self._loads.silent(name, self._now):
-            untold = self._loads.untold_at_silent(name)
+            untold = self._loads.unreported_at_silent(name)
         else:
-            untold = self._loads.untold(name)
+            untold = self._loads.unreported(name)
         own = self._loads.own_calls(name)
         return Candidate(name, load, engine.slots, engine.weight, holds, near, untold, own)
 
@@ -200,7 +200,7 @@
         """A call goes to `engine`."""
         serving = self._look(now)
         if engine in serving.cold:
-            self._cold_shares.sent(serving.engines[engine].incarnation, now)
+            self._cold_shares.record_sent(serving.engines[engine].incarnation, now)
 
     def _look(self, now: float) -> Serving:
         """The engines that serve now; what hangs on them is kept up."""
@@ -225,7 +225,7 @@
         The caller notes the work in the load table.
         """
         serving = self._look(now)
-        holders = self._holders.of(call.chat, now) if call.sticky else []
+        holders = self._holders.engines_holding(call.chat, now) if call.sticky else []
         candidates = RankedEngines(
             call.chat,
             call.excluded | self._spared(serving, now),
--- a/scenarios/mutants.py
+++ b/scenarios/mutants.py
@@ -118,7 +118,7 @@
         also=(
             Edit(
                 'placement/seamhold_placement/bound.py',
-                'or self._is_own_part(engine, work)',
+                'or self._within_own_part(engine, work)',
                 'or True',
             ),
         ),
--- a/tests/test_hundreds.py
+++ b/tests/test_hundreds.py
@@ -38,7 +38,10 @@
         held = known = 0
         routers = [box.router for box in self.fleet.boxes.values()]
         for number in range(CHATS):
-            holders = [router.holders.of(f'chat-{number}', self.fleet.now) for router in routers]
+            holders = [
+                router.holders.engines_holding(f'chat-{number}', self.fleet.now)
+                for router in routers
+            ]
             held += any(holders)
             known += sum(map(bool, holders)) / len(holders)
         return known / held
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -75,12 +75,12 @@
 
     def test_what_an_engine_tells_stands_for_all_boxes_calls(self):
         self.table.start('e', Work(1, 10), 0.0)
-        self.assertTrue(self.table.read(LoadReading('e', 7), 1.0))
+        self.assertTrue(self.table.apply_reading(LoadReading('e', 7), 1.0))
         self.assertEqual(7, self.requests())
         self.assertEqual(7, self.table.total('s').requests)
 
     def test_own_calls_since_are_added(self):
-        self.table.read(LoadReading('e', 7), 1.0)
+        self.table.apply_reading(LoadReading('e', 7), 1.0)
         self.table.start('e', Work(1, 10), 1.1)
         self.table.start('e', Work(1, 10), 1.2)
         self.table.finish('e', Work(1, 10), 1.3)
@@ -89,29 +89,31 @@
     def test_a_reading_that_is_passed_on_is_as_old_as_it_says(self):
         self.table.start('e', Work(1, 10), 0.5)
         self.table.start('e', Work(1, 10), 0.9)
-        self.table.read(LoadReading('e', 3, age=0.3), 1.0)
+        self.table.apply_reading(LoadReading('e', 3, age=0.3), 1.0)
         self.assertEqual(4, self.requests())
 
     def test_an_older_reading_is_no_news(self):
-        self.assertTrue(self.table.read(LoadReading('e', 7), 1.0))
-        self.assertFalse(self.table.read(LoadReading('e', 2, age=0.5), 1.1))
+        self.assertTrue(self.table.apply_reading(LoadReading('e', 7), 1.0))
+        self.assertFalse(self.table.apply_reading(LoadReading('e', 2, age=0.5), 1.1))
         passed_on = LoadReading('e', 2, age=0.1)
-        self.assertFalse(self.table.read(passed_on, 1.1 + NEWER_SECONDS / 2, NEWER_SECONDS))
-        self.assertTrue(self.table.read(passed_on, 1.2, NEWER_SECONDS))
+        self.assertFalse(
+            self.table.apply_reading(passed_on, 1.1 + NEWER_SECONDS / 2, NEWER_SECONDS)
+        )
+        self.assertTrue(self.table.apply_reading(passed_on, 1.2, NEWER_SECONDS))
         self.assertEqual(2, self.requests())
 
     def test_an_engine_has_this_box_s_own_calls_at_least(self):
         for number in range(3):
             self.table.start('e', Work(1, 10), 0.1 * number)
-        self.table.read(LoadReading('e', 1), 1.0)
+        self.table.apply_reading(LoadReading('e', 1), 1.0)
         self.assertEqual(3, self.requests())
 
     def test_an_engine_of_whom_nobody_hears_is_known_by_what_boxes_tell(self):
         self.table.set_peer('other', {'e': Work(4, 40)})
         self.table.start('e', Work(1, 10), 0.0)
-        self.table.answered('e', 0.0, 0.1)
+        self.table.record_answer('e', 0.0, 0.1)
         self.assertEqual(5, self.requests())
-        self.table.read(LoadReading('e', 9), 1.0)
+        self.table.apply_reading(LoadReading('e', 9), 1.0)
         self.table.set_peer('other', {'e': Work(2, 20)})
         self.assertEqual(9, self.requests())
         self.table.expire(1.0 + FADING_FROM_SECONDS / 2)
@@ -130,24 +132,24 @@
         self.table.set_peer('third', {})
         for number in range(8):
             self.table.start('e', Work(1, 10), number / 10)
-            self.table.answered('e', number / 10, number / 10 + 0.1)
+            self.table.record_answer('e', number / 10, number / 10 + 0.1)
             self.table.finish('e', Work(1, 10), number / 10 + 0.1)
-        self.table.read(LoadReading('e', 9), 1.0)
+        self.table.apply_reading(LoadReading('e', 9), 1.0)
         self.table.start('e', Work(1, 10), 1.0)
         self.assertFalse(self.table.silent('e', 1.2))
         self.assertTrue(self.table.silent('e', 1.3))
         self.table.expire(1.0 + 2 * READING_SECONDS)
-        self.assertEqual(10, self.table.known('e').requests)
-        self.table.answered('e', 1.0, 5.1)
+        self.assertEqual(10, self.table.known_load('e').requests)
+        self.table.record_answer('e', 1.0, 5.1)
         self.assertFalse(self.table.silent('e', 5.1))
         self.table.expire(5.1)
-        self.assertEqual(1, self.table.known('e').requests)
+        self.assertEqual(1, self.table.known_load('e').requests)
 
     def test_a_call_that_hangs_does_not_make_an_engine_silent_that_answers_later_ones(self):
         for sent_at in (0.0, 1.0):
             self.table.start('e', Work(1, 10), sent_at)
         self.assertTrue(self.table.silent('e', 1.1))
-        self.table.answered('e', 1.0, 1.1)
+        self.table.record_answer('e', 1.0, 1.1)
         self.assertFalse(self.table.silent('e', 9.0))
         self.table.start('e', Work(1, 10), 9.0)
         self.assertTrue(self.table.silent('e', 12.0))
@@ -155,9 +157,9 @@
     def test_what_peers_sent_to_a_silent_engine_counts_whole(self):
         for peer in ('other', 'third'):
             self.table.set_peer(peer, {})
-        self.table.read(LoadReading('e', 9), 1.0)
+        self.table.apply_reading(LoadReading('e', 9), 1.0)
         self.table.start('e', Work(1, 10), 1.1)
-        self.assertEqual(Work(2, 20), self.table.untold_at_silent('e'))
+        self.assertEqual(Work(2, 20), self.table.unreported_at_silent('e'))
 
     def test_nothing_is_kept_of_engines_that_come_and_go(self):
         for number in range(50):
@@ -174,8 +176,8 @@
     def test_boxes_are_told_only_what_engines_do_not_tell(self):
         self.table.start('e', Work(1, 10), 0.0)
         self.table.start('f', Work(1, 10), 0.0)
-        self.table.read(LoadReading('e', 1), 0.1)
-        self.assertEqual({'f'}, set(self.table.own()))
+        self.table.apply_reading(LoadReading('e', 1), 0.1)
+        self.assertEqual({'f'}, set(self.table.own_loads()))
 
     @given(st.lists(st.tuples(st.sampled_from('ab'), st.integers(0, 9), st.floats(0, 3))))
     def test_sums_agree_with_their_parts(self, steps):
@@ -192,7 +194,7 @@
                 table.finish(name, Work(1, 3), now)
                 running[name] -= 1
             else:
-                table.read(LoadReading(name, number, age=0.1), now)
+                table.apply_reading(LoadReading(name, number, age=0.1), now)
             table.expire(now)
             parts = table.estimate('a') + table.estimate('b')
             self.assertEqual(parts.requests, table.total('s').requests)
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -85,7 +85,7 @@
             router.set_engines(self.engines('e1', 'e2', 'e3'), 0.0)
         held = self.place(one, 1, 0.0).engine
         tell(one, other, 0.1)
-        self.assertEqual([held], other.holders.of('chat', 0.2))
+        self.assertEqual([held], other.holders.engines_holding('chat', 0.2))
 
     def test_who_holds_a_chat_is_passed_on_to_boxes_that_its_box_does_not_tell(self):
         one, between, other = Router('one', 'x'), Router('between', 'y'), Router('other', 'z')
@@ -94,7 +94,7 @@
         held = self.place(one, 1, 0.0).engine
         tell(one, between, 0.1)
         tell(between, other, 0.2)
-        self.assertEqual([held], other.holders.of('chat', 0.3))
+        self.assertEqual([held], other.holders.engines_holding('chat', 0.3))
 
     def test_an_engine_that_leaves_is_fetched_from(self):
         router = Router('box', 'x')
@@ -112,15 +112,17 @@
         old, new = Router('old', 'x'), Router('new', 'y')
         old.set_engines(self.engines('e1', 'e2', 'e3'), 0.0)
         placed = {chat: self.place(old, 1, 0.0, chat).engine for chat in map(str, range(50))}
-        told = FleetLists([], [], 1, 1, old.holders.all(20.0))
-        new.holders.heard(decode_lists(encode_lists(told)).held, 20.0)
-        self.assertEqual(placed, {chat: new.holders.of(chat, 20.0)[0] for chat in placed})
+        told = FleetLists([], [], 1, 1, old.holders.current_holdings(20.0))
+        new.holders.record_holdings(decode_lists(encode_lists(told)).held, 20.0)
+        self.assertEqual(
+            placed, {chat: new.holders.engines_holding(chat, 20.0)[0] for chat in placed}
+        )
 
     def test_what_engines_tell_at_a_start_is_counted_and_not_told_as_news(self):
         router = Router('box', 'x')
         router.set_engines(self.engines('e1'), 0.0)
         router.holders.learn('e1', ['chat', 'other'], 0.0)
-        self.assertEqual(['e1'], router.holders.of('chat', 0.1))
+        self.assertEqual(['e1'], router.holders.engines_holding('chat', 0.1))
         (digest,) = router.digests_for(['peer'], Versions(), 0.1)
         self.assertEqual((), digest.held)
         self.assertEqual(2, digest.learned)
@@ -151,7 +153,7 @@
         for second in range(0, 180, 10):
             self.place(router, second, float(second))
             tell(router, peer, float(second))
-            self.assertEqual(['e1'], peer.holders.of('chat', float(second)))
+            self.assertEqual(['e1'], peer.holders.engines_holding('chat', float(second)))
 
     def test_a_spilled_call_fetches_from_the_first_rank_if_no_holder_is_known(self):
         router = Router('box', 'x')
@@ -207,13 +209,13 @@
         router = Router('box', 'x', failure_domain='here')
         self.domains(router)
         for engine in ('there-1', 'here-5', 'there-6'):
-            router.holders.placed('chat', engine, 0.0)
+            router.holders.record_placement('chat', engine, 0.0)
         self.assertEqual('here-5', self.admit(router, 1).engine)
 
     def test_a_call_that_its_holders_cannot_take_goes_near_and_fetches(self):
         router = Router('box', 'x', failure_domain='here')
         self.domains(router)
-        router.holders.placed('chat', 'there-1', 0.0)
+        router.holders.record_placement('chat', 'there-1', 0.0)
         router.loads.set_peer('busy', {'there-1': Work(2, 2)})
         placed = self.admit(router, 1)
         self.assertEqual(('here', 'there-1:80'), (placed.engine[:4], placed.fetch_from))
@@ -230,7 +232,7 @@
         router = Router('box', 'x', failure_domain='here')
         self.domains(router)
         for engine in ('here-1', 'there-1'):
-            router.holders.placed('chat', engine, 0.0)
+            router.holders.record_placement('chat', engine, 0.0)
         router.loads.set_peer('busy', {'here-1': Work(2, 2)})
         (placed,) = router.admit(Call('c1', 'w', 'llm', 'chat', Work(1, 1), 10.0), 0.0)
         self.assertEqual(('there-1', False), (placed.engine, placed.spilled))
