--- a/packages/attempts/seamhold_attempts/__init__.py
+++ b/packages/attempts/seamhold_attempts/__init__.py
@@ -2,7 +2,7 @@
 
 from .claims import ClaimBucket, ClaimState, claim_bucket_of
 from .retry import Outcome, RetryBudget, RetryRule, may_retry
-from .tickets import TicketBook, TicketState, parse_ticket
+from .tickets import TicketState, TicketStore, parse_ticket
 
 __all__ = [
     'ClaimBucket',
@@ -10,8 +10,8 @@
     'Outcome',
     'RetryBudget',
     'RetryRule',
-    'TicketBook',
     'TicketState',
+    'TicketStore',
     'claim_bucket_of',
     'may_retry',
     'parse_ticket',
--- a/packages/attempts/seamhold_attempts/claims.py
+++ b/packages/attempts/seamhold_attempts/claims.py
@@ -1,13 +1,13 @@
-"""Claims: an idempotency key that two boxes cannot both win.
+"""Claims: an idempotency key has at most one owner, whichever boxes receive its calls.
 
-Keys are kept in bucket objects of the platform.  A box reads the bucket,
-adds its claims and writes it under the condition that nobody wrote in
-between; whoever's claim stands first owns the key for good.  Claims carry
-the owner's token, so that a write whose answer was lost is recognised when
-the bucket is read again.
+Keys are stored in bucket objects of the platform.  A box reads the bucket, adds its claims
+and writes the bucket back on the condition that it has not changed in between (a
+compare-and-swap).  The first claim of a key that is written owns the key for good.  A claim
+carries its owner's token, which lets the owner recognise its own write when the response to
+the write was lost and the bucket is read again.
 
-Several calls share one write, so writes a second grow with the number of
-buckets and not with the calls.
+Several calls share one write: the rate of writes depends on the number of buckets, not on
+the number of calls.
 """
 
 from enum import StrEnum
@@ -16,12 +16,17 @@
 
 from seamhold_messages.hashing import hash64, hash128
 
-#: Claims in one bucket: about 90 bytes each, well below a megabyte.
+#: Maximum number of claims in one bucket.  A claim takes about 90 bytes, which keeps the
+#: object well below a megabyte.
 CLAIMS_MAX = 8000
 
 
 class ClaimState(StrEnum):
-    """What a box learns of a key it asked for."""
+    """The result of claiming a key.
+
+    `OWNED`: the claim owns the key.  `TAKEN`: another call with the same body owns it.
+    `MISMATCH`: another call with a different body owns it.  `FULL`: the bucket has no room.
+    """
 
     OWNED = 'owned'
     TAKEN = 'taken'
@@ -30,7 +35,10 @@
 
 
 class Claim(Struct, frozen=True):
-    """One key: who owns it, the body it came with, and when (unix seconds)."""
+    """One claimed key: its owner's token, the hash of the call's body and the time.
+
+    `at` is in Unix seconds.
+    """
 
     key: str
     owner: str
@@ -39,12 +47,12 @@
 
 
 def claim_key(workspace: str, service: str, key: str) -> str:
-    """The name under which a key is kept; workspaces never share one."""
+    """Return the name under which a caller's key is stored; workspaces never share one."""
     return hash128(f'{workspace}\0{service}\0{key}')
 
 
 def claim_bucket_of(key: str, buckets: int) -> int:
-    """The bucket that holds `key`."""
+    """Return the number of the bucket that stores `key`, from 0 to `buckets` - 1."""
     return hash64(key) % buckets
 
 
@@ -56,21 +64,21 @@
 
     @classmethod
     def from_spec(cls, spec: dict) -> 'ClaimBucket':
-        """Read the object's value."""
+        """Read a bucket from the object's value."""
         rows = spec.get('claims', {})
         return cls({key: Claim(key, *row) for key, row in rows.items()})
 
     def to_spec(self) -> dict:
-        """The object's value."""
+        """Return the object's value: rows of owner, body hash and time by key."""
         rows = {key: [claim.owner, claim.body_hash, claim.at] for key, claim in self.claims.items()}
         return {'claims': rows}
 
-    def forget(self, before: float) -> None:
-        """Drop claims made before `before`; the promise ends with them."""
+    def drop_before(self, before: float) -> None:
+        """Drop claims made before `before`; the at-most-once guarantee for their keys ends."""
         self.claims = {key: claim for key, claim in self.claims.items() if claim.at >= before}
 
-    def ask(self, claim: Claim) -> ClaimState:
-        """Add the claim if the key is free, and tell whose it is."""
+    def try_claim(self, claim: Claim) -> ClaimState:
+        """Add the claim if its key is free, and return the key's state for this owner."""
         held = self.claims.get(claim.key)
         if held is None:
             if len(self.claims) >= CLAIMS_MAX:
@@ -82,7 +90,10 @@
         return ClaimState.TAKEN if held.body_hash == claim.body_hash else ClaimState.MISMATCH
 
     def release(self, key: str, owner: str) -> bool:
-        """Take back a claim whose call is certain not to have run."""
+        """Remove the owner's claim, whose call is certain not to have run.
+
+        Return False if `owner` does not own the key.
+        """
         held = self.claims.get(key)
         if held is None or held.owner != owner:
             return False
--- a/packages/attempts/seamhold_attempts/retry.py
+++ b/packages/attempts/seamhold_attempts/retry.py
@@ -1,7 +1,7 @@
-"""When a call may be sent again, and what a box spends on that.
+"""When a call may be retried, and the budget that limits a box's retries.
 
-The budget is a share of the calls that came first, as in the retry budgets
-of the service meshes: an outage cannot multiply the load that caused it.
+The budget is a share of first attempts, as in the retry budgets of service meshes: an outage
+cannot multiply the load that caused it.
 """
 
 from collections import deque
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-#: Retries that a box has from its first moment on, if its part is as large.
+#: Retries available to a box from its start, unless its share of the reserve is smaller.
 STARTING_RETRIES = 1.0
 
 
@@ -29,28 +29,31 @@
 
 #: The engine refused the call, because all its slots are taken or for another reason.
 REFUSALS = frozenset({Outcome.ENGINE_REFUSED, Outcome.ENGINE_FULL})
-#: After these the engine is certain not to have run the call.
+#: Outcomes after which the engine is certain not to have run the call.
 NOT_RUN = frozenset(
     {Outcome.NOT_SENT, Outcome.ENGINE_REFUSED, Outcome.ENGINE_FULL, Outcome.MISDIRECTED}
 )
-#: After these a call that may be repeated is worth another engine.
+#: Outcomes after which a repeatable call is retried at another engine.
 FAILURES = frozenset({Outcome.FAILED, Outcome.BROKEN, Outcome.ANSWERED_FAILURE})
 
 
 class RetryRule(Struct, frozen=True):
-    """What a route allows: `repeatable` calls may run again."""
+    """A route's retry policy.
+
+    `repeatable` calls may run more than once; `retries` is the maximum number of retries.
+    """
 
     repeatable: bool
     retries: int
 
 
-def may_retry(rule: RetryRule, outcome: Outcome, tried: int, passed: bool) -> bool:
-    """Whether another engine may be tried after `tried` attempts.
+def may_retry(rule: RetryRule, outcome: Outcome, attempts: int, answer_started: bool) -> bool:
+    """Return whether another engine may be tried after `attempts` attempts.
 
-    `passed` tells that part of the answer went to the caller already, after
-    which no second answer may begin.
+    `answer_started` tells that a part of the answer was sent to the caller, after which no
+    second answer may begin.
     """
-    if passed or tried > rule.retries:
+    if answer_started or attempts > rule.retries:
         return False
     if outcome in NOT_RUN:
         return True
@@ -58,13 +61,12 @@
 
 
 class RetryBudget:
-    """One box's part of a fleet-wide retry budget over a sliding window.
+    """One box's share of a fleet-wide retry budget over a sliding window.
 
-    Within any `window` seconds the box's retries stay below `ratio` of its
-    first attempts in that window and its part of `reserve`.  The parts of all
-    boxes add up to the fleet's budget.  A box that just started cannot know
-    what it spent before it ended, so its part of the reserve grows over the
-    first window, from `STARTING_RETRIES` on.
+    Within any `window` seconds the box's retries stay below `ratio` times its first attempts
+    in that window plus its share of `reserve`.  The shares of all boxes add up to the fleet's
+    budget.  A box does not know what it spent before a restart: its share of the reserve
+    therefore grows from `STARTING_RETRIES` to its full size over the first window.
     """
 
     def __init__(self, started: float, ratio: float = 0.1, window: float = 10.0):
@@ -73,29 +75,31 @@
         self.reserve = 0.0
         self.boxes = 1
         self._started = started
-        self._firsts: deque[float] = deque()
+        self._first_attempts: deque[float] = deque()
         self._retries: deque[float] = deque()
 
-    def first_attempt(self, now: float) -> None:
-        """A call was sent for the first time."""
-        self._firsts.append(now)
-        self._forget(now)
+    def record_first_attempt(self, now: float) -> None:
+        """Record that a call was sent for the first time."""
+        self._first_attempts.append(now)
+        self._drop_expired(now)
 
     def take(self, now: float) -> bool:
-        """Whether one more retry is within the budget; if so it is spent."""
-        self._forget(now)
+        """Spend one retry if the budget allows it; return whether it did."""
+        self._drop_expired(now)
         if len(self._retries) + 1 > self.allowed(now):
             return False
         self._retries.append(now)
         return True
 
     def allowed(self, now: float) -> float:
-        """Retries that this box may have made in the window that ends now."""
-        part = self.reserve / max(1, self.boxes)
+        """Return how many retries this box may have made in the window that ends now."""
+        share = self.reserve / max(1, self.boxes)
         age = min(1.0, max(0.0, now - self._started) / self.window)
-        return self.ratio * len(self._firsts) + max(part * age, min(part, STARTING_RETRIES))
+        return self.ratio * len(self._first_attempts) + max(
+            share * age, min(share, STARTING_RETRIES)
+        )
 
-    def _forget(self, now: float) -> None:
-        for times in (self._firsts, self._retries):
+    def _drop_expired(self, now: float) -> None:
+        for times in (self._first_attempts, self._retries):
             while times and times[0] <= now - self.window:
                 times.popleft()
--- a/packages/attempts/seamhold_attempts/tickets.py
+++ b/packages/attempts/seamhold_attempts/tickets.py
@@ -1,9 +1,9 @@
-"""Tickets: a call that only one start of one box will ever dispatch.
+"""Tickets: a call that only one incarnation of one box can ever dispatch.
 
-A ticket names a box and its incarnation.  Only that process holds the
-ticket's state, in memory, and dispatches it at most once.  When the process
-is gone so is the ticket, and the answer is that it may have run.  No clock,
-lease or platform write is part of it, so pauses and outages change nothing.
+A ticket names a box and its incarnation.  Only that process holds the ticket's state, in
+memory, and it dispatches the ticket at most once.  When the process is gone, so is the
+ticket, and callers are told that the call may have run.  No clock, lease or platform write
+takes part, therefore pauses and outages do not affect the guarantee.
 """
 
 import secrets
@@ -24,7 +24,11 @@
 
 
 class TicketState(StrEnum):
-    """How far a ticket has come; it only moves forward."""
+    """The state of a ticket.
+
+    It moves from `OPEN` to `DISPATCHED` to `DONE`, and back to `OPEN` only if the dispatched
+    call is certain not to have run.
+    """
 
     OPEN = 'open'
     DISPATCHED = 'dispatched'
@@ -32,14 +36,14 @@
 
 
 def begin_state(state: TicketState) -> TicketState:
-    """The state after a dispatch begins, or KeyInUse if one ever did."""
+    """Return the state after a dispatch begins; raise KeyInUse unless the ticket is open."""
     if state is not TicketState.OPEN:
-        raise KeyInUse(f'the ticket was used: {state}')
+        raise KeyInUse(f'the ticket was already used, its state is {state}')
     return TicketState.DISPATCHED
 
 
 def not_run_state(state: TicketState) -> TicketState:
-    """The state after a dispatch that is certain not to have run."""
+    """Return the state after a dispatch that is certain not to have run."""
     return TicketState.OPEN if state is TicketState.DISPATCHED else state
 
 
@@ -62,38 +66,41 @@
 
 
 def parse_ticket(text: str) -> TicketName:
-    """Read a ticket, or raise TicketUnknown."""
+    """Parse a ticket; raise TicketUnknown if it is malformed."""
     parts = text.split(SEPARATOR)
     if len(parts) != 3 or not all(parts):
-        raise TicketUnknown('not a ticket')
+        raise TicketUnknown('malformed ticket')
     return TicketName(*parts)
 
 
-class TicketBook:
-    """The tickets of one box incarnation; holds at most `most` of them."""
+class TicketStore:
+    """The tickets of one box incarnation, at most `max_tickets` at a time."""
 
-    def __init__(self, box: str, incarnation: str, most: int = 100_000):
+    def __init__(self, box: str, incarnation: str, max_tickets: int = 100_000):
         self.box = box
         self.incarnation = incarnation
-        self.most = most
+        self.max_tickets = max_tickets
         self._tickets: OrderedDict[str, _Ticket] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._tickets)
 
-    def mint(self, workspace: str, count: int, lifetime: float, now: float) -> list[str]:
-        """`count` fresh tickets that live for `lifetime` seconds."""
-        self._forget_expired(now)
-        if len(self._tickets) + count > self.most:
-            raise TicketsFull('this box holds as many tickets as it may', lifetime)
-        minted = []
+    def issue(self, workspace: str, count: int, lifetime: float, now: float) -> list[str]:
+        """Return `count` new tickets that expire after `lifetime` seconds.
+
+        Raises TicketsFull if that would exceed `max_tickets`.
+        """
+        self._drop_expired(now)
+        if len(self._tickets) + count > self.max_tickets:
+            raise TicketsFull('this box holds its maximum number of tickets', lifetime)
+        issued = []
         for _ in range(count):
             name = TicketName(self.box, self.incarnation, secrets.token_hex(SECRET_BYTES))
             self._tickets[name.secret] = _Ticket(workspace, now + lifetime)
-            minted.append(str(name))
-        return minted
+            issued.append(str(name))
+        return issued
 
-    def _forget_expired(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         while self._tickets:
             secret, ticket = next(iter(self._tickets.items()))
             if ticket.expires > now:
@@ -102,32 +109,37 @@
 
     def _find(self, name: TicketName, workspace: str, now: float) -> _Ticket:
         ticket = self._tickets.get(name.secret)
-        mine = (name.box, name.incarnation) == (self.box, self.incarnation)
-        if not mine or ticket is None or ticket.workspace != workspace or ticket.expires <= now:
-            raise TicketUnknown('no living box remembers this ticket')
+        issued_here = (name.box, name.incarnation) == (self.box, self.incarnation)
+        if (
+            not issued_here
+            or ticket is None
+            or ticket.workspace != workspace
+            or ticket.expires <= now
+        ):
+            raise TicketUnknown('no running box holds this ticket')
         return ticket
 
     def begin(self, name: TicketName, workspace: str, body_hash: str, now: float) -> None:
-        """Mark the ticket dispatched; after this it never is again.
+        """Mark the ticket dispatched; it cannot be dispatched again unless `mark_not_run` follows.
 
-        Called in the step that precedes the first byte to an engine.  Raises
-        KeyInUse if it was dispatched before, KeyMismatch if with another
-        body.
+        Must be called before the first byte is sent to an engine.  Raises KeyInUse if the
+        ticket was dispatched before with the same body, KeyMismatch if with another body, and
+        TicketUnknown if it is not a valid ticket of this workspace and box incarnation.
         """
         ticket = self._find(name, workspace, now)
         if ticket.state is not TicketState.OPEN and ticket.body_hash != body_hash:
-            raise KeyMismatch('the ticket was used with another body')
+            raise KeyMismatch('the ticket was used with a different body')
         ticket.state = begin_state(ticket.state)
         ticket.body_hash = body_hash
 
-    def not_run(self, name: TicketName) -> None:
-        """The engine is certain not to have run it: the ticket is open again."""
+    def mark_not_run(self, name: TicketName) -> None:
+        """Reopen the ticket of a call that is certain not to have run."""
         ticket = self._tickets.get(name.secret)
         if ticket is not None:
             ticket.state = not_run_state(ticket.state)
 
-    def done(self, name: TicketName) -> None:
-        """The call ended, however it ended."""
+    def mark_done(self, name: TicketName) -> None:
+        """Mark the ticket done once its call has ended, with whatever result."""
         ticket = self._tickets.get(name.secret)
         if ticket is not None:
             ticket.state = TicketState.DONE
--- a/packages/routing/seamhold_routing/beliefs.py
+++ b/packages/routing/seamhold_routing/beliefs.py
@@ -1,4 +1,4 @@
-"""What a box takes engines and boxes to be, and by whose word: for the logs."""
+"""What a box assumes about engines and boxes, with the source and reason, for the logs."""
 
 from enum import StrEnum
 
@@ -7,20 +7,23 @@
 from seamhold_membership import Event, EventKind
 from seamhold_messages.fleet import Phase
 
-#: Who told a belief that comes from the platform's list.
+#: Source of a belief that comes from the platform's list.
 LIST_SOURCE = 'list'
-#: Who told that an engine fails more than its siblings: all boxes together.
+#: Source of a belief that an engine is an outlier: the failures counted by all boxes.
 OUTLIER_SOURCE = 'compared'
-#: Who told that a box is gone or back: this box hears it, or does not.
+#: Sources of a belief that a box is gone or back: this box stopped or resumed receiving
+#: its messages.
 SILENCE_SOURCE = 'silence'
-HEARD_SOURCE = 'heard'
+RECEIVED_SOURCE = 'heard'
 
 
 class Sign(StrEnum):
-    """What a belief rests on.
+    """The kind of observation that a belief is based on.
 
-    `CALL`: how one of this box's own calls ended.  `REFUSAL`: an engine said so itself in
-    answer to one.  `TOLD`: a peer's word, whose own log has its sign.
+    `LIST`: the platform's list.  `CALL`: the outcome of one of this box's own calls.
+    `REFUSAL`: an engine's own answer to such a call.  `COMPARED`: the engine failed far more
+    often than others of its service.  `TOLD`: a report from a peer, whose own log has the
+    sign.  `SILENCE`: a peer's messages stopped or resumed.
     """
 
     LIST = 'list'
@@ -31,7 +34,7 @@
     SILENCE = 'silence'
 
 
-#: What an event makes of its subject.
+#: The phase that each kind of event puts its subject in.
 EVENT_PHASES = {
     EventKind.ENGINE_LEAVING: Phase.LEAVING,
     EventKind.BOX_LEAVING: Phase.LEAVING,
@@ -40,7 +43,7 @@
 
 
 class Belief(Struct, frozen=True):
-    """What this box now takes an engine or a box to be, by whose word and which sign."""
+    """The phase that this box now assumes for an engine or a box, its source and its sign."""
 
     subject: str
     phase: Phase
@@ -48,13 +51,13 @@
     sign: Sign
 
 
-def belief_from(event: Event, sign: Sign) -> Belief:
-    """What an event that a box told makes of its subject."""
+def belief_from_event(event: Event, sign: Sign) -> Belief:
+    """Return the belief that follows from an event."""
     return Belief(event.subject, EVENT_PHASES[event.kind], event.origin, sign)
 
 
-def changes(before: dict[str, Phase], after: dict[str, Phase]) -> list[Belief]:
-    """What a new list changed; what is not in it any more is gone."""
+def phase_changes(before: dict[str, Phase], after: dict[str, Phase]) -> list[Belief]:
+    """Return what a new list changed; a name that is missing from a list counts as gone."""
     return [
         Belief(name, after.get(name, Phase.GONE), LIST_SOURCE, Sign.LIST)
         for name in sorted(before.keys() | after.keys())
--- a/packages/routing/seamhold_routing/exchange.py
+++ b/packages/routing/seamhold_routing/exchange.py
@@ -1,4 +1,4 @@
-"""What one box tells its peers, and what it takes from what they tell."""
+"""The digests that one box sends to its peers and applies from them."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -21,31 +21,31 @@
 from seamhold_placement import HolderTable, LoadTable
 from seamhold_quarantine import Quarantine
 
-from .beliefs import HEARD_SOURCE, SILENCE_SOURCE, Belief, Sign, belief_from
+from .beliefs import RECEIVED_SOURCE, SILENCE_SOURCE, Belief, Sign, belief_from_event
 from .health import EngineHealth
-from .relaying import NEWS_SECONDS, Relaying
+from .relaying import MAX_UPDATE_AGE_SECONDS, GossipRelay
 from .watchers import WatcherSelection
 
-#: Events that one digest carries at most.
+#: Maximum number of events in one digest.
 EVENTS_PER_DIGEST = 4
-#: Word that was passed on is newer if it is by so much, in seconds: its age does not
-#: count the time on its way, and one that went round would look ever newer.
-NEWER_SECONDS = 0.05
+#: A relayed update counts as newer only if it is newer by at least this.  Its age leaves out
+#: the time in transit, so an update that circulates would look newer each time it arrives.
+MIN_NEWER_SECONDS = 0.05
 
 
 class Versions(Struct, frozen=True):
-    """Which settings and lists a box has, and whether the platform serves it."""
+    """The versions of a box's settings and lists, and whether it has lost the platform's store."""
 
     settings_total: int = 0
-    settings_print: int = 0
+    settings_fingerprint: int = 0
     engines: int = 0
     boxes: int = 0
     store_lost: bool = False
     evacuations: int = 0
 
 
-class Knowledge(Struct):
-    """What one box knows of the fleet, by itself and from its peers."""
+class FleetState(Struct):
+    """One box's local state of the fleet, from its own observations and from its peers."""
 
     boxes: BoxView
     engines: EngineView
@@ -56,188 +56,190 @@
     quarantine: Quarantine = field(default_factory=Quarantine)
     events: EventLog = field(default_factory=EventLog)
     counts: Counter[str] = field(default_factory=Counter)
-    #: Changes of belief since they were last taken, for the logs.
+    #: Changes of belief that have not been logged yet.
     beliefs: list[Belief] = field(default_factory=list)
 
 
 class PeerExchange:
-    """Makes a box's digests out of what it knows, and adds what peers tell to it."""
+    """Builds a box's digests from its fleet state and applies its peers' digests to it."""
 
-    def __init__(self, box: str, incarnation: str, known: Knowledge):
+    def __init__(self, box: str, incarnation: str, state: FleetState):
         self.leaving = False
         self._box = box
         self._incarnation = incarnation
-        self._known = known
+        self._state = state
         self._sender = DigestSender()
         self._receiver = DigestReceiver()
-        #: Neighbours that were silent at the last look.
+        #: Neighbours that were silent at the last check.
         self._silent: set[str] = set()
-        self._relaying = Relaying()
+        self._relay = GossipRelay()
         self.selection = WatcherSelection(box)
-        #: Whether this box watches the platform's store for all, and is served.
+        #: Whether this box watches the platform's store for the fleet and has not lost it.
         self.watching = False
-        #: When the platform last answered any box, as far as that was told.
-        self.store_seen_at: float | None = None
+        #: When the platform last answered any box, as far as this box knows.
+        self.store_answered_at: float | None = None
 
-    # What peers tell.
+    # Updates from peers, engines and the platform.
 
-    def hear(self, digest: Digest, now: float) -> None:
-        """A peer told its state."""
-        known = self._known
-        if known.boxes.heard(digest.box, digest.incarnation, now, digest.store_lost):
+    def receive_digest(self, digest: Digest, now: float) -> None:
+        """Apply a digest received from a peer."""
+        state = self._state
+        if state.boxes.heard(digest.box, digest.incarnation, now, digest.store_lost):
             self._sender.forget(digest.box)
-            known.limits.peer_forgot(digest.box)
+            state.limits.peer_forgot(digest.box)
         self._sender.heard(digest.box, digest.ack)
-        whole = self._receiver.hear(digest)
-        if whole is not None:
-            known.loads.set_peer(digest.box, whole.loads)
-            known.limits.set_peer(digest.box, whole.usage, whole.ack)
-        self._take_news(digest, now)
+        full = self._receiver.hear(digest)
+        if full is not None:
+            state.loads.set_peer(digest.box, full.loads)
+            state.limits.set_peer(digest.box, full.usage, full.ack)
+        self._apply_updates(digest, now)
         if digest.leaving:
-            self.note(Event(EventKind.BOX_LEAVING, digest.box, digest.incarnation, digest.box), now)
+            self.record_event(
+                Event(EventKind.BOX_LEAVING, digest.box, digest.incarnation, digest.box), now
+            )
         for event in digest.events:
-            self.note(event, now)
+            self.record_event(event, now)
 
     def boxes_listed(self, names: Iterable[str]) -> None:
-        """Boxes came on the platform's list.
+        """Apply the usage received earlier from boxes that are new on the platform's list.
 
-        Only listed boxes hold shares of limits: what was heard of these before counts from
-        now on, since it is acknowledged from now on.
+        Only listed boxes hold shares of limits.  The usage that these boxes sent before they
+        were listed counts from now on, because it is acknowledged from now on.
         """
         for name in names:
-            heard = self._receiver.latest(name)
-            if heard is not None:
-                self._known.limits.set_peer(name, heard.usage, heard.ack)
-
-    def _take_news(self, digest: Digest, now: float) -> None:
-        """Believe what the peer passed on, and pass on what is new here."""
-        for holding in self._known.holders.told(digest.held, now):
-            self._relaying.put_holding(holding)
+            latest = self._receiver.latest(name)
+            if latest is not None:
+                self._state.limits.set_peer(name, latest.usage, latest.ack)
+
+    def _apply_updates(self, digest: Digest, now: float) -> None:
+        """Apply the updates that a peer relayed, and relay those that are new here."""
+        for holding in self._state.holders.told(digest.held, now):
+            self._relay.put_holding(holding)
         for reading in digest.readings:
-            self._note_load(reading, now, NEWER_SECONDS)
+            self._record_load(reading, now, MIN_NEWER_SECONDS)
         for report in digest.reports:
-            self._hear_of_failures(report, now)
+            self._receive_failure_report(report, now)
         for heartbeat in digest.watchers:
-            self._hear_of_watcher(heartbeat, now)
+            self._receive_heartbeat(heartbeat, now)
         if digest.store_age is not None:
-            self.store_seen(now - digest.store_age)
+            self.record_store_answer(now - digest.store_age)
 
-    def _hear_of_watcher(self, heartbeat: WatcherHeartbeat, now: float) -> None:
+    def _receive_heartbeat(self, heartbeat: WatcherHeartbeat, now: float) -> None:
         at = now - heartbeat.age
-        if heartbeat.box == self._box or heartbeat.age > NEWS_SECONDS:
+        if heartbeat.box == self._box or heartbeat.age > MAX_UPDATE_AGE_SECONDS:
             return
-        if at > self.selection.heard_at(heartbeat.box) + NEWER_SECONDS:
-            self.selection.heard(heartbeat.box, at)
-            self._relaying.put_heartbeat(heartbeat, now)
+        if at > self.selection.last_heartbeat_at(heartbeat.box) + MIN_NEWER_SECONDS:
+            self.selection.record_heartbeat(heartbeat.box, at)
+            self._relay.put_heartbeat(heartbeat, now)
 
-    def store_seen(self, at: float) -> None:
-        """The platform answered some box then."""
-        if self.store_seen_at is None or at > self.store_seen_at:
-            self.store_seen_at = at
+    def record_store_answer(self, at: float) -> None:
+        """Record that the platform answered this or another box at time `at`."""
+        if self.store_answered_at is None or at > self.store_answered_at:
+            self.store_answered_at = at
 
     def placed(self, chat: str, engine: str, now: float) -> None:
-        """This box sent a call of `chat` to `engine`, which reads it."""
-        holding = self._known.holders.placed(chat, engine, now)
+        """Record that this box sent a call of `chat` to `engine`, which then holds the chat."""
+        holding = self._state.holders.placed(chat, engine, now)
         if holding is not None:
-            self._relaying.put_holding(holding)
+            self._relay.put_holding(holding)
 
-    def engine_told(self, reading: LoadReading, now: float) -> None:
-        """An engine told this box its load."""
-        self._note_load(reading, now, newer_by=0.0)
+    def record_engine_load(self, reading: LoadReading, now: float) -> None:
+        """Record the load that an engine reported to this box."""
+        self._record_load(reading, now, newer_by=0.0)
 
-    def _note_load(self, reading: LoadReading, now: float, newer_by: float) -> None:
-        if self._known.loads.read(reading, now, newer_by):
-            self._relaying.put_reading(reading, now)
+    def _record_load(self, reading: LoadReading, now: float, newer_by: float) -> None:
+        if self._state.loads.read(reading, now, newer_by):
+            self._relay.put_reading(reading, now)
 
-    def _hear_of_failures(self, report: FailureReport, now: float) -> None:
-        known = self._known
-        if report.origin == self._box or not known.health.heard(report, now):
+    def _receive_failure_report(self, report: FailureReport, now: float) -> None:
+        state = self._state
+        if report.origin == self._box or not state.health.record_report(report, now):
             return
-        self._relaying.put_report(report, now)
+        self._relay.put_report(report, now)
         if not report.incarnation_key:
             return
         suspect = Suspect(report.engine, report.incarnation_key)
-        if known.engines.reported_failing(suspect, report.origin, now):
-            known.beliefs.append(Belief(suspect.engine, Phase.SUSPECT, report.origin, Sign.TOLD))
+        if state.engines.reported_failing(suspect, report.origin, now):
+            state.beliefs.append(Belief(suspect.engine, Phase.SUSPECT, report.origin, Sign.TOLD))
 
-    def note(self, event: Event, now: float, sign: Sign = Sign.TOLD) -> None:
-        """Believe an exception that this box saw or a peer told, and relay it."""
-        known = self._known
-        if not known.events.add(event, len(known.boxes.peers()) + 1):
+    def record_event(self, event: Event, now: float, sign: Sign = Sign.TOLD) -> None:
+        """Apply an event that this box observed or a peer reported, and relay it."""
+        state = self._state
+        if not state.events.add(event, len(state.boxes.peers()) + 1):
             return
-        known.counts[f'event.{event.kind.name.lower()}'] += 1
-        known.beliefs.append(belief_from(event, sign))
+        state.counts[f'event.{event.kind.name.lower()}'] += 1
+        state.beliefs.append(belief_from_event(event, sign))
         if event.kind is EventKind.ENGINE_LEAVING:
-            known.engines.leaving(event.subject, event.incarnation)
+            state.engines.leaving(event.subject, event.incarnation)
         elif event.kind is EventKind.BOX_LEAVING:
-            known.boxes.leaving(event.subject, event.incarnation)
+            state.boxes.leaving(event.subject, event.incarnation)
         elif event.kind is EventKind.BOX_GONE:
-            known.boxes.reported_gone(event.subject, event.origin, now)
+            state.boxes.reported_gone(event.subject, event.origin, now)
 
     def forget_silent(self, now: float) -> None:
-        """What silent neighbours told is void; the others may have to hear of it."""
-        silent = self._known.boxes.silent(now)
-        self._note_silence(set(silent))
+        """Drop what silent neighbours reported, and report them gone to other boxes if needed."""
+        silent = self._state.boxes.silent(now)
+        self._record_silence(set(silent))
         for name in silent:
-            self._tell_gone(name, now)
-            self._known.loads.drop_peer(name)
+            self._report_gone(name, now)
+            self._state.loads.drop_peer(name)
             self._receiver.forget(name)
             self._sender.forget(name)
 
-    def _note_silence(self, silent: set[str]) -> None:
-        beliefs = self._known.beliefs
+    def _record_silence(self, silent: set[str]) -> None:
+        beliefs = self._state.beliefs
         for name in sorted(silent - self._silent):
             beliefs.append(Belief(name, Phase.GONE, SILENCE_SOURCE, Sign.SILENCE))
         for name in sorted(self._silent - silent):
-            if self._known.boxes.get(name) is not None:
-                beliefs.append(Belief(name, Phase.LIVE, HEARD_SOURCE, Sign.SILENCE))
+            if self._state.boxes.get(name) is not None:
+                beliefs.append(Belief(name, Phase.LIVE, RECEIVED_SOURCE, Sign.SILENCE))
         self._silent = silent
 
-    def _tell_gone(self, name: str, now: float) -> None:
-        """Tell boxes that do not hear a neighbour themselves that it fell silent."""
-        if self._known.boxes.all_are_neighbours:
+    def _report_gone(self, name: str, now: float) -> None:
+        """Report a silent neighbour to boxes that are not its neighbours themselves."""
+        if self._state.boxes.all_are_neighbours:
             return
-        box = self._known.boxes.get(name)
+        box = self._state.boxes.get(name)
         if box is not None and box.incarnation:
             gone = Event(EventKind.BOX_GONE, name, box.incarnation, self._box)
-            self.note(gone, now, Sign.SILENCE)
+            self.record_event(gone, now, Sign.SILENCE)
 
-    # What this box tells.
+    # Digests to peers.
 
     def digests_for(self, peers: Iterable[str], versions: Versions, now: float) -> list[Digest]:
-        """The next message to each of `peers`."""
-        known = self._known
-        truth = Digest(
+        """Return the next digest for each of `peers`, in their order."""
+        state = self._state
+        full = Digest(
             self._box,
             self._incarnation,
             leaving=self.leaving,
-            loads=known.loads.own(),
-            usage=known.limits.usage(now),
+            loads=state.loads.own(),
+            usage=state.limits.usage(now),
             settings_total=versions.settings_total,
-            settings_print=versions.settings_print,
-            events=known.events.pending(EVENTS_PER_DIGEST),
+            settings_print=versions.settings_fingerprint,
+            events=state.events.pending(EVENTS_PER_DIGEST),
             engines_version=versions.engines,
             boxes_version=versions.boxes,
             evacuations_version=versions.evacuations,
             store_lost=versions.store_lost,
-            learned=len(known.holders.learned),
-            cases_print=known.quarantine.fingerprint,
-            store_age=None if self.store_seen_at is None else now - self.store_seen_at,
+            learned=len(state.holders.learned),
+            cases_print=state.quarantine.fingerprint,
+            store_age=None if self.store_answered_at is None else now - self.store_answered_at,
         )
         if self.watching:
-            self._relaying.put_heartbeat(WatcherHeartbeat(self._box), now)
-        for report in known.health.new_reports(self._box, now):
-            self._relaying.put_report(report, now)
-        return [self._digest_for(peer, truth, now) for peer in peers]
+            self._relay.put_heartbeat(WatcherHeartbeat(self._box), now)
+        for report in state.health.new_reports(self._box, now):
+            self._relay.put_report(report, now)
+        return [self._digest_for(peer, full, now) for peer in peers]
 
-    def _digest_for(self, peer: str, truth: Digest, now: float) -> Digest:
-        message = self._sender.next_for(peer, truth, self._receiver.last(peer))
-        # Counted as told even if it is not sent: that only delays a share.
-        self._known.limits.digest_sent(peer, message.seq, truth.usage)
-        return self._relaying.attached_to(message, now)
+    def _digest_for(self, peer: str, full: Digest, now: float) -> Digest:
+        message = self._sender.next_for(peer, full, self._receiver.last(peer))
+        # Counted as sent even if it is not, which only delays a change of limit shares.
+        self._state.limits.digest_sent(peer, message.seq, full.usage)
+        return self._relay.attach_to(message, now)
 
     def digests_sent(self, digests: Iterable[Digest]) -> None:
-        """Messages went out."""
-        self._known.loads.digest_sent()
+        """Record that digests were sent."""
+        self._state.loads.digest_sent()
         for digest in digests:
-            self._known.events.relayed(digest.events)
+            self._state.events.relayed(digest.events)
--- a/packages/routing/seamhold_routing/health.py
+++ b/packages/routing/seamhold_routing/health.py
@@ -1,8 +1,8 @@
-"""What failed calls say of the engines they went to.
+"""What failed calls say about the health of the engines they were sent to.
 
-A box's own calls in a row are evidence at once.  What single boxes see too
-little of is compared over all boxes: an engine that fails far more often than
-its siblings is avoided for a while.
+Consecutive failures of this box's own calls make an engine suspect at once.  Failures that
+are too rare at any single box are counted over all boxes: an engine that fails far more often
+than the others of its service is avoided for a while.
 """
 
 import math
@@ -14,10 +14,11 @@
 from seamhold_membership import EngineView, FailureCounts, outliers
 from seamhold_messages.work import FailureReport
 
-#: What each way for a call to fail says against its engine.  A connection that
-#: is refused is proof; answers are lost, and calls fail, on good engines too.  One that is
-#: not the start that was expected is avoided for a while only: the platform's list, not an
-#: answer, tells that a start is gone.
+#: The weight of each outcome as evidence that an engine is failing; 1.0 makes it suspect.  A
+#: refused connection is proof, while lost answers and failed calls also occur on healthy
+#: engines.  A misdirected call, one that reached another incarnation than expected, only
+#: makes the engine avoided for a while: the platform's list, not an answer, tells that an
+#: incarnation is gone.
 EVIDENCE = {
     Outcome.NOT_SENT: 1.0,
     Outcome.MISDIRECTED: 1.0,
@@ -25,17 +26,17 @@
     Outcome.BROKEN: 0.5,
     Outcome.ANSWERED_FAILURE: 0.25,
 }
-#: Ways for a call to fail that count when engines are compared.  To be full is none: in a rush
-#: the engines that hold a wanted prompt would be avoided for it, and the others filled.
+#: Outcomes counted when engines are compared.  ENGINE_FULL is not one of them: in a surge the
+#: engines that hold a popular prompt would be avoided for it, and the others would fill up.
 COMPARED = frozenset(
     {Outcome.FAILED, Outcome.BROKEN, Outcome.ANSWERED_FAILURE, Outcome.ENGINE_REFUSED}
 )
-#: An engine that has not begun to answer after so many objectives counts as
-#: one more that failed.
+#: A call that its engine has not begun to answer after this many times the call's objective
+#: counts as one more failure.
 SLOW_OBJECTIVES = 2.0
 
 
-class Wait(Struct):
+class PendingAnswer(Struct):
     """A call that its engine has not begun to answer."""
 
     engine: str
@@ -43,28 +44,32 @@
 
 
 class EngineHealth:
-    """Turns how calls end into what this box believes of their engines."""
+    """Derives from the outcomes of calls which engines are suspect or outliers."""
 
     def __init__(self, engines: EngineView):
         self.failures = FailureCounts()
         self._engines = engines
-        self._waits: dict[str, Wait] = {}
-        #: Engines at which calls failed since the others were told.
-        self._untold: dict[str, None] = {}
+        self._pending: dict[str, PendingAnswer] = {}
+        #: Engines with failures that have not been reported to peers, in order.
+        self._unreported: dict[str, None] = {}
 
     def sent(self, call_id: str, engine: str, objective: float | None, now: float) -> None:
-        """A call was placed; with an `objective` its engine is watched for silence."""
+        """Record that a call was sent to `engine`.
+
+        `objective` is the time to the first byte in seconds, None for none.  If the engine has
+        not begun to answer after `SLOW_OBJECTIVES` times that, the call counts as failed.
+        """
         if objective is not None:
-            self._waits[call_id] = Wait(engine, now + SLOW_OBJECTIVES * objective)
+            self._pending[call_id] = PendingAnswer(engine, now + SLOW_OBJECTIVES * objective)
 
-    def began(self, call_id: str) -> None:
-        """The engine has begun to answer, or the call is over."""
-        self._waits.pop(call_id, None)
+    def answer_started(self, call_id: str) -> None:
+        """Stop waiting for the answer: it has begun, or the call is over."""
+        self._pending.pop(call_id, None)
 
-    def ended(self, engine: str, outcome: Outcome, now: float) -> bool:
-        """An attempt ended; True if that alone makes the engine suspect."""
+    def attempt_ended(self, engine: str, outcome: Outcome, now: float) -> bool:
+        """Record an attempt's outcome; return True if it makes the engine suspect."""
         if outcome in COMPARED:
-            self._failed(engine, now)
+            self._record_failure(engine, now)
         if outcome is Outcome.DONE:
             self._engines.answered(engine)
             return False
@@ -72,32 +77,35 @@
         answered = outcome is Outcome.MISDIRECTED
         if evidence is None or not self._engines.failed(engine, now, evidence, answered):
             return False
-        self._untold[engine] = None
+        self._unreported[engine] = None
         return True
 
-    def _failed(self, engine: str, now: float) -> None:
+    def _record_failure(self, engine: str, now: float) -> None:
         self.failures.failed(engine, now)
-        self._untold[engine] = None
+        self._unreported[engine] = None
 
     def new_reports(self, box: str, now: float) -> list[FailureReport]:
-        """What this box, `box`, met since it was asked last, by engine."""
-        untold, self._untold = self._untold, {}
+        """Return the reports of this box, `box`, since the last call, one for each engine."""
+        unreported, self._unreported = self._unreported, {}
         return [
             self.failures.report(box, engine, now, self._engines.suspicion(engine, now))
-            for engine in untold
+            for engine in unreported
         ]
 
-    def heard(self, report: FailureReport, now: float) -> bool:
-        """Another box's report; False if it is not news."""
+    def record_report(self, report: FailureReport, now: float) -> bool:
+        """Record another box's report; return False if it is not new."""
         return self.failures.heard(report, now)
 
-    def next_late(self) -> float:
-        """When the next engine is late with its answer, infinity if none can be."""
-        return min((wait.slow_at for wait in self._waits.values()), default=math.inf)
+    def next_slow_at(self) -> float:
+        """Return when the next pending answer counts as slow, infinity if none is pending."""
+        return min((pending.slow_at for pending in self._pending.values()), default=math.inf)
 
     def eject_outliers(self, services: Iterable[str], now: float) -> list[str]:
-        """Avoid the engines that fail far more than their siblings; names the new ones."""
-        self._count_silent(now)
+        """Avoid engines that fail far more often than others of their service.
+
+        Returns the names of those newly avoided.
+        """
+        self._count_slow(now)
         totals = self.failures.totals(now)
         if not totals:
             return []
@@ -108,8 +116,8 @@
             if self._engines.eject(name, now)
         ]
 
-    def _count_silent(self, now: float) -> None:
-        for call_id, wait in list(self._waits.items()):
-            if now >= wait.slow_at:
-                del self._waits[call_id]
-                self._failed(wait.engine, now)
+    def _count_slow(self, now: float) -> None:
+        for call_id, pending in list(self._pending.items()):
+            if now >= pending.slow_at:
+                del self._pending[call_id]
+                self._record_failure(pending.engine, now)
--- a/packages/routing/seamhold_routing/relaying.py
+++ b/packages/routing/seamhold_routing/relaying.py
@@ -1,4 +1,4 @@
-"""What a box passes on of what others told it, within the size of a digest."""
+"""Gossip: the updates from other boxes that a box relays, within the size of a digest."""
 
 from typing import Generic, TypeVar
 
@@ -8,36 +8,36 @@
 from seamhold_membership import Digest, RelayLog
 from seamhold_messages.work import FailureReport, Holding, LoadReading, WatcherHeartbeat
 
-#: Readings of engines' load that one digest carries at most, 7 bytes each: at 8 KB a
-#: second 28 digests with as many reach each of 112 engines 8 times a second.
+#: Maximum number of engine load readings in one digest, 7 bytes each.  At 8 KB a second, 28
+#: digests of this size carry the load of each of 112 engines 8 times a second.
 READINGS_PER_DIGEST = 32
-#: Reports of failing engines that one digest carries at most, 19 bytes each.
+#: Maximum number of failure reports in one digest, 19 bytes each.
 REPORTS_PER_DIGEST = 12
-#: Boxes that watch the platform that one digest tells of at most, 5 bytes each.
+#: Maximum number of watcher heartbeats in one digest, 5 bytes each.
 WATCHERS_PER_DIGEST = 8
-#: Holdings that one digest carries at most, 8 bytes each.
+#: Maximum number of holdings in one digest, 8 bytes each.
 HOLDINGS_PER_DIGEST = 40
 
-#: What is older, in seconds, is no news: it was forgotten where it was known, and would
-#: be taken for new each time that it comes round.
-NEWS_SECONDS = 3.0
+#: Updates older than this are not relayed.  Boxes that had them have dropped them by then
+#: and would take them for new each time they come round.
+MAX_UPDATE_AGE_SECONDS = 3.0
 
-News = TypeVar('News', LoadReading, FailureReport, WatcherHeartbeat)
+Update = TypeVar('Update', LoadReading, FailureReport, WatcherHeartbeat)
 
 
-class _Dated(Struct, Generic[News], frozen=True):
-    """A piece of news and since when it is so old as it says."""
+class _Dated(Struct, Generic[Update], frozen=True):
+    """An update and the time at which its age was correct."""
 
-    news: News
+    update: Update
     at: float
 
-    def now(self, now: float) -> News:
-        """The news with its age now."""
-        return replace(self.news, age=self.news.age + now - self.at)
+    def now(self, now: float) -> Update:
+        """Return the update with its age at `now`."""
+        return replace(self.update, age=self.update.age + now - self.at)
 
 
-class Relaying:
-    """The news that waits to be passed on, whichever box it came from."""
+class GossipRelay:
+    """The updates that wait to be relayed, from this box and from others."""
 
     def __init__(self):
         self._readings: RelayLog[str, _Dated[LoadReading]] = RelayLog()
@@ -46,23 +46,23 @@
         self._holdings: RelayLog[Holding, Holding] = RelayLog()
 
     def put_reading(self, reading: LoadReading, now: float) -> None:
-        """Pass on what an engine told."""
+        """Relay an engine's load reading."""
         self._readings.put(reading.engine, _Dated(reading, now))
 
     def put_report(self, report: FailureReport, now: float) -> None:
-        """Pass on what a box met at an engine."""
+        """Relay a box's report of failures at an engine."""
         self._reports.put((report.origin, report.engine), _Dated(report, now))
 
     def put_heartbeat(self, heartbeat: WatcherHeartbeat, now: float) -> None:
-        """Pass on that a box watches the platform's store."""
+        """Relay that a box watches the platform's store."""
         self._heartbeats.put(heartbeat.box, _Dated(heartbeat, now))
 
     def put_holding(self, holding: Holding) -> None:
-        """Pass on who holds a chat."""
+        """Relay which engine holds a chat."""
         self._holdings.put(holding, holding)
 
-    def attached_to(self, message: Digest, now: float) -> Digest:
-        """The message with what it passes on, which counts as told."""
+    def attach_to(self, message: Digest, now: float) -> Digest:
+        """Return the message with waiting updates attached, which then count as sent once."""
         return replace(
             message,
             held=tuple(self._holdings.take(HOLDINGS_PER_DIGEST)),
@@ -72,6 +72,6 @@
         )
 
 
-def _fresh(taken: list[_Dated[News]], now: float) -> tuple[News, ...]:
+def _fresh(taken: list[_Dated[Update]], now: float) -> tuple[Update, ...]:
     aged = (dated.now(now) for dated in taken)
-    return tuple(news for news in aged if news.age <= NEWS_SECONDS)
+    return tuple(update for update in aged if update.age <= MAX_UPDATE_AGE_SECONDS)
--- a/packages/routing/seamhold_routing/router.py
+++ b/packages/routing/seamhold_routing/router.py
@@ -1,7 +1,7 @@
 """One box's whole decision state, without sockets, threads or a clock.
 
-Messages and the time go in, messages come out.  The daemon's decider task
-owns one of these; a test or a measurement drives it with a hand-set clock.
+The caller passes in messages and the current time and gets messages back.  The daemon's
+decider task owns one router; tests and measurements drive routers with a simulated clock.
 """
 
 import math
@@ -21,28 +21,33 @@
 from seamhold_quarantine import EndReport
 from seamhold_settings import Tree
 
-from .beliefs import LIST_SOURCE, OUTLIER_SOURCE, Belief, Sign, changes
+from .beliefs import LIST_SOURCE, OUTLIER_SOURCE, Belief, Sign, phase_changes
 from .calls import BoxCalls
-from .exchange import Knowledge, PeerExchange, Versions
+from .exchange import FleetState, PeerExchange, Versions
 from .health import EngineHealth
 from .plans import caps_for
-from .watchers import box_missing_seconds, box_silent_seconds, store_away, watcher_silent_seconds
-
-#: After an outage of the platform its list is whole again within this time.
+from .watchers import (
+    box_missing_seconds,
+    box_silent_seconds,
+    store_unavailable,
+    watcher_silent_seconds,
+)
+
+#: After an outage of the platform its list is complete again within this time.
 LIST_RECOVERY_SECONDS = 2.0
-#: More than this share of a service's engines has to serve before one is risked.
-RISKED_SHARE = 0.5
-#: How often what is known of requests that end engines is looked through, in seconds.
+#: An engine may be risked only while more than this share of its service's engines serves.
+MIN_SERVING_SHARE = 0.5
+#: Interval at which expired cases of requests that end engines are dropped.
 FORGET_CASES_SECONDS = 60.0
 
 
 class Router:
-    """What one box knows and decides.
+    """One box's state and decisions.
 
-    `loads` and `chooser` are for those who embed it with another source of
-    load or another rule; the daemon uses what is built in, which draws among engines
-    that are as good, with a generator seeded by `incarnation`.  Among engines of equal load, calls
-    that reuse nothing go to one of `failure_domain`.
+    `loads` and `chooser` allow an embedding program to supply another source of load or
+    another placement rule.  The daemon uses the defaults: the default chooser picks at random
+    among equally good engines, with a generator seeded by `incarnation`.  Among engines of
+    equal load, a call that reuses no cache goes to one in `failure_domain`.
     """
 
     def __init__(
@@ -55,7 +60,7 @@
     ):
         self.box = box
         self.failure_domain = failure_domain
-        #: Whether the platform does not serve this box.
+        #: Whether this box has lost access to the platform's store.
         self.store_lost = False
         self.tree = Tree()
         self.engines = EngineView()
@@ -65,27 +70,27 @@
         self.holders = HolderTable()
         self._cold_shares = ColdShares(box)
         self.limits = WorkspaceLimits(box)
-        known = Knowledge(
+        state = FleetState(
             self.boxes, self.engines, self.health, self.loads, self.holders, self.limits
         )
-        self.counts = known.counts
-        self.events = known.events
-        self.beliefs = known.beliefs
-        self.quarantine = known.quarantine
+        self.counts = state.counts
+        self.events = state.events
+        self.beliefs = state.beliefs
+        self.quarantine = state.quarantine
         self._forget_cases_at = -math.inf
-        self.exchange = PeerExchange(box, incarnation, known)
+        self.exchange = PeerExchange(box, incarnation, state)
         self._calls = BoxCalls(
-            known,
+            state,
             self.exchange,
             chooser or partial(choose, chance=random.Random(incarnation)),
             failure_domain,
             self._cold_shares,
         )
 
-    # What the box is told.
+    # Inputs: settings, lists, and messages from peers and engines.
 
     def use_settings(self, tree: Tree) -> None:
-        """Put a tree in force; work in flight goes on."""
+        """Apply a settings tree; calls in flight continue."""
         self.tree = tree
         placement = tree.fleet.placement
         self.engines.rising_seconds = placement.rising_seconds
@@ -99,125 +104,128 @@
         self._calls.use_settings(tree)
 
     def set_engines(self, engines: list[Engine], now: float) -> list[Decision]:
-        """Take over the platform's list of engines."""
+        """Apply the platform's list of engines; return decisions on waiting calls."""
         before = self.engines.phases(now)
         self.engines.set_list(engines, now)
-        self.beliefs += changes(before, self.engines.phases(now))
+        self.beliefs += phase_changes(before, self.engines.phases(now))
         return self._calls.drain(now)
 
     def set_evacuations(self, evacuations: list[Evacuation], now: float) -> list[Decision]:
-        """Take over which failure domains the operators evacuate."""
+        """Apply the list of failure domains that operators evacuate."""
         before = self.engines.phases(now)
         domains = frozenset(evacuation.name for evacuation in evacuations)
         self.engines.set_evacuated(domains, now)
-        self.beliefs += changes(before, self.engines.phases(now))
+        self.beliefs += phase_changes(before, self.engines.phases(now))
         return self._calls.drain(now)
 
     def set_boxes(self, boxes: list[Box], now: float) -> None:
-        """Take over the platform's list of boxes."""
+        """Apply the platform's list of boxes."""
         new = self.boxes.set_list(boxes, now)
         self._cold_shares.set_boxes(box.name for box in boxes)
         self.exchange.selection.begin(now)
-        self._share_between_live(now)
+        self._share_limits(now)
         self.exchange.boxes_listed(new)
 
-    def hear(self, digest: Digest, now: float) -> list[Decision]:
-        """A peer told its state; calls that waited may now have a place."""
-        self.exchange.hear(digest, now)
+    def receive_digest(self, digest: Digest, now: float) -> list[Decision]:
+        """Apply a digest received from a peer; return decisions on waiting calls."""
+        self.exchange.receive_digest(digest, now)
         return self._calls.drain(now)
 
     def engine_leaving(self, name: str, now: float) -> None:
-        """An engine told this box in so many words that it takes no new work."""
+        """Record that an engine reported to this box that it takes no new work."""
         engine = self.engines.get(name)
         if engine is not None:
             event = Event(EventKind.ENGINE_LEAVING, name, engine.incarnation, self.box)
-            self.exchange.note(event, now, Sign.REFUSAL)
+            self.exchange.record_event(event, now, Sign.REFUSAL)
 
-    def engine_told(self, name: str, requests: int, sent_at: float, now: float) -> None:
-        """An engine told with an answer how many calls run and wait there.
+    def record_engine_load(self, name: str, requests: int, sent_at: float, now: float) -> None:
+        """Record how many calls run and wait at an engine, as reported with an answer.
 
-        It is as old as the call that it answers, sent at `sent_at`: when the engine
-        counted since is not known, and calls that were on their way then are not in it.
-        Dated when it is handled instead, a prompt asked for by 40 in 100 of 235 calls a
-        second brings 11 of 1,000 calls above the promise where each way takes 0.1 s, and
-        breaks it; 1 so (routers alone, five seeds).
+        The reading is dated `sent_at`, when the answered call was sent, because it is not known
+        when the engine counted since then, and calls in transit at that time are not counted.
+        Dating it on receipt breaks the load guarantee: with 0.1 s of latency each way and 40 in
+        100 of 235 calls a second for one prompt, 11 of 1,000 calls exceed the bound instead of 1.
         """
         if self.engines.get(name) is not None:
-            self.exchange.engine_told(LoadReading(name, requests, max(0.0, now - sent_at)), now)
+            self.exchange.record_engine_load(
+                LoadReading(name, requests, max(0.0, now - sent_at)), now
+            )
 
     def engine_ended(self, engine: Engine, report: EndReport, now: float) -> EndReport | None:
-        """An engine ended under one of this box's calls; what to hold against its request.
+        """Record that an engine ended under one of this box's calls.
 
-        None where that is nothing: an engine that was leaving ends as planned.
+        Returns the report that counts against the call's request, None if there is none, for
+        example because the engine was leaving and ended as planned.
         """
-        ended = self.engines.get(engine.name) or self._started_again(engine)
+        ended = self.engines.get(engine.name) or self._replacement_of(engine)
         if ended is None or self.engines.phase(ended.name, now) is Phase.LEAVING:
             return None
         if self.engines.failed(ended.name, now):
             self.beliefs.append(Belief(ended.name, Phase.SUSPECT, self.box, Sign.CALL))
         return replace(report, end=replace(report.end, engine=hash64(ended.name)))
 
-    def _started_again(self, engine: Engine) -> Engine | None:
-        """The start that has come at an engine's address, where the list has it already.
+    def _replacement_of(self, engine: Engine) -> Engine | None:
+        """Return the engine that is now listed at the address of `engine`, None for none.
 
-        A call that was meant for the start before runs there.
+        A call meant for the earlier incarnation at that address runs there.
         """
         return self.engines.at(engine.address)
 
-    def may_risk(self, service: str, ended: frozenset[int], now: float) -> bool:
-        """Whether an engine of a service may be lost to a request that is a suspect.
+    def may_risk_engine(self, service: str, ended: frozenset[int], now: float) -> bool:
+        """Return whether a suspect request may run at an engine of `service` and possibly end it.
 
-        The starts in `ended` are away, also where this box met none of these ends: a service
-        of three servers lost its last one to a box that did not know of the others.
+        `ended` holds hashes of the names of engines that have ended.  They count as gone even
+        if this box did not observe it: otherwise a box that does not know of the other ends
+        could let a request end the last of three servers.
         """
         serving = sum(
             hash64(name) not in ended for name in self.engines.serving(service, now).engines
         )
-        known = max(len(self.engines.of_service(service)), serving + len(ended))
-        return serving > RISKED_SHARE * known
+        total = max(len(self.engines.of_service(service)), serving + len(ended))
+        return serving > MIN_SERVING_SHARE * total
 
     def store_answered(self, now: float) -> None:
-        """The platform answered this box."""
-        self.exchange.store_seen(now)
+        """Record that the platform answered this box."""
+        self.exchange.record_store_answer(now)
 
-    # What the box is asked.
+    # Calls.
 
     def admit(self, call: Call, now: float) -> list[Decision]:
         """Place the call, let it wait, or refuse it.
 
-        The first decision names the call; others may name calls that gave
-        way to it.
+        The first decision is about the call itself; others are about calls that it displaced
+        from the queue.
         """
         return self._calls.admit(call, now)
 
-    def began(self, call_id: str, now: float) -> None:
-        """The answer to a call begins."""
-        self._calls.began(call_id, now)
+    def answer_started(self, call_id: str, now: float) -> None:
+        """Record that an engine has begun to answer a call."""
+        self._calls.answer_started(call_id, now)
 
-    def attempted(self, call_id: str, outcome: Outcome, now: float) -> list[Decision]:
-        """An attempt ended; the call keeps its part of the limits."""
-        return self._calls.attempted(call_id, outcome, now)
+    def attempt_ended(self, call_id: str, outcome: Outcome, now: float) -> list[Decision]:
+        """Record an attempt's outcome; the call still counts towards the workspace's limits."""
+        return self._calls.attempt_ended(call_id, outcome, now)
 
-    def again(self, call_id: str, now: float, full_engine: str = '') -> list[Decision]:
-        """Place a call anew; `full_engine` refused it as full, '' for none."""
-        return self._calls.again(call_id, now, full_engine)
+    def retry_call(self, call_id: str, now: float, full_engine: str = '') -> list[Decision]:
+        """Place a call again; `full_engine` refused it as full, '' for none."""
+        return self._calls.retry_call(call_id, now, full_engine)
 
     def exclude(self, call_id: str, engine: str) -> None:
-        """Keep the call away from `engine` from here on."""
+        """Exclude `engine` from further attempts of the call."""
         self._calls.exclude(call_id, engine)
 
     def close(self, call_id: str, now: float) -> list[Decision]:
-        """The call is over, or its caller left while it waited."""
+        """End a call: it is over, or its caller left while it waited."""
         return self._calls.close(call_id, now)
 
     # Time.
 
     def next_due(self, now: float) -> float:
-        """When a wait ends: of a call for its engine or a slot, or for an answer."""
-        return min(self.health.next_late(), self._calls.next_due(now))
+        """Return when `tick` is due next: for a waiting call or a slow answer."""
+        return min(self.health.next_slow_at(), self._calls.next_due(now))
 
     def tick(self, now: float) -> list[Decision]:
-        """Expire what waited too long and forget boxes that went silent."""
+        """Expire old state, detect silent boxes and outliers, and decide on waiting calls."""
         self.boxes.silent_seconds = box_silent_seconds(self.boxes, self.tree.fleet.control)
         self.loads.expire(now)
         self._cold_shares.forget(now)
@@ -225,28 +233,31 @@
             self._forget_cases_at = now + FORGET_CASES_SECONDS
             self.quarantine.forget(now)
         self.exchange.forget_silent(now)
-        self._share_between_live(now)
-        self._note_outage(now)
+        self._share_limits(now)
+        self._check_outage(now)
         for name in self.health.eject_outliers(self._calls.services, now):
             self.counts['engine.ejected'] += 1
             self.beliefs.append(Belief(name, Phase.SUSPECT, OUTLIER_SOURCE, Sign.COMPARED))
         return self._calls.drain(now)
 
-    def _note_outage(self, now: float) -> None:
-        """While the platform is away, entries that lapse say nothing of their engines."""
+    def _check_outage(self, now: float) -> None:
+        """Drop engines that are off the platform's list, unless the platform is unavailable.
+
+        An entry that expires during an outage does not show that its engine is gone.
+        """
         control = self.tree.fleet.control
-        seen_at = self.exchange.store_seen_at
-        if store_away(self.store_lost, self.boxes, control, seen_at, now):
+        answered_at = self.exchange.store_answered_at
+        if store_unavailable(self.store_lost, self.boxes, control, answered_at, now):
             self.engines.outage_until = now + LIST_RECOVERY_SECONDS
             return
         for name in self.engines.drop_unlisted(now):
             self.beliefs.append(Belief(name, Phase.GONE, LIST_SOURCE, Sign.LIST))
 
-    def _share_between_live(self, now: float) -> None:
+    def _share_limits(self, now: float) -> None:
         self.limits.set_boxes(self.boxes.live(now), self.boxes.leaving_boxes(now))
 
-    def follows_store(self, now: float) -> bool:
-        """Whether this box is one of the few that watch the platform's store."""
+    def watches_store(self, now: float) -> bool:
+        """Return whether this box is one of the few that watch the platform's store."""
         control = self.tree.fleet.control
         silent_seconds = watcher_silent_seconds(self.boxes, control)
         watches = self.exchange.selection.watches(
@@ -256,35 +267,35 @@
         return watches
 
     def missing_boxes(self, now: float) -> list[str]:
-        """Neighbours that are silent and may be there: cut off, or only just gone."""
+        """Return neighbours that are silent and may still run: cut off, or only just gone."""
         seconds = box_missing_seconds(self.boxes, self.tree.fleet.control)
         return self.boxes.missing(seconds, now)
 
-    # What the box tells.
+    # Outputs: digests, logged beliefs and counts.
 
     def digests_for(self, peers: Iterable[str], versions: Versions, now: float) -> list[Digest]:
-        """The next message to each of `peers`."""
+        """Return the next digest for each of `peers`, in their order."""
         return self.exchange.digests_for(peers, versions, now)
 
     def digests_sent(self, digests: Iterable[Digest]) -> None:
-        """Messages went out."""
+        """Record that digests were sent."""
         self.exchange.digests_sent(digests)
 
     def leave(self) -> None:
-        """This box is stopping: peers are told with the next messages."""
+        """Report in the next digests that this box is stopping."""
         self.exchange.leaving = True
 
     def take_beliefs(self) -> list[Belief]:
-        """Changes of belief since they were last taken, for the logs."""
+        """Return the changes of belief since the last call, for the logs."""
         taken = self.beliefs.copy()
         self.beliefs.clear()
         return taken
 
     def engine_uses(self, now: float) -> list[ServiceUse]:
-        """How many engines of each service that calls were for get new work."""
+        """Return the use of engines by each service that this box has received calls for."""
         return self._calls.engine_uses(now)
 
     @property
     def in_flight(self) -> int:
-        """Calls that are placed or wait on this box."""
+        """The number of calls that are placed or wait on this box."""
         return len(self._calls)
--- a/packages/routing/seamhold_routing/service.py
+++ b/packages/routing/seamhold_routing/service.py
@@ -1,4 +1,4 @@
-"""Where the calls of one service go."""
+"""Placement of one service's calls on one box."""
 
 from collections.abc import Collection, Sequence
 
@@ -21,23 +21,24 @@
 
 from .plans import ServicePlan
 
-#: An engine that refused a call because it is full is taken to be full for so
-#: long: by then peers have told what they sent there.
+#: An engine that refused a call as full is assumed to be full for this long.  By then peers
+#: have reported the calls they sent to it.
 FULL_SECONDS = 0.3
-#: Ranks that may hold a chat of which no holder is known.  The second had the chat
-#: before an engine joined that now ranks first, and takes what that cannot.  A guess
-#: that is wrong costs the engine a look; one that is right spares reading.
+#: Number of first-ranked engines to fetch a chat's cache from when no holder is known.  The
+#: second one held the chat before the engine that now ranks first joined, and takes the calls
+#: that the first cannot.  A wrong guess costs the engine a lookup; a right one saves
+#: reading the prompt again.
 LIKELY_HOLDERS = 2
-#: Ranks among which a caller's hint may find an engine.
+#: A caller's hint is only looked up among this many first-ranked engines.
 HINT_RANKS = 5
 
 
 class RankedEngines(Sequence[Candidate]):
-    """The engines for one chat, best first, worked out as they are read.
+    """The candidate engines for one chat, best first, computed lazily.
 
-    Those that hold the chat come before the rank order.  Among these, and among
-    the others once somebody holds it, those that are `near` come first.  A chat
-    that nobody holds goes by rank alone, so that all boxes read it at one engine.
+    Engines that hold the chat come before all others.  If there are any, `local` engines come
+    first both among the holders and among the others.  Without a holder the order is by rank
+    alone, which makes all boxes send the chat to the same engine.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         serving: Serving,
         loads: LoadTable,
         holders: Sequence[str] = (),
-        near: Collection[str] = (),
+        local: Collection[str] = (),
         full: Collection[str] = (),
         now: float = 0.0,
     ):
@@ -60,14 +61,14 @@
         self._holders = [
             name for name in holders if name in serving.engines and name not in excluded
         ]
-        self._near = near
+        self._local = local
         self._full = full
         self._now = now
-        self._names = self._in_order(ranking.first(chat))
+        self._names = self._holders_first(ranking.first(chat))
         self._length = len(serving.engines) - sum(name in serving.engines for name in excluded)
 
-    def _in_order(self, names: list[str]) -> list[str]:
-        """`names` without those excluded, those that hold the chat first."""
+    def _holders_first(self, names: list[str]) -> list[str]:
+        """Return `names` without the excluded ones, holders of the chat first."""
         if self._excluded:
             names = [name for name in names if name not in self._excluded]
         if not self._holders:
@@ -75,17 +76,17 @@
         holders = [name for name in names if name in self._holders]
         holders += [name for name in self._holders if name not in names]
         others = [name for name in names if name not in self._holders]
-        return self._near_first(holders) + self._near_first(others)
+        return self._local_first(holders) + self._local_first(others)
 
-    def _near_first(self, names: list[str]) -> list[str]:
-        return sorted(names, key=lambda name: name not in self._near)
+    def _local_first(self, names: list[str]) -> list[str]:
+        return sorted(names, key=lambda name: name not in self._local)
 
-    def place_of(self, hint: str) -> int | None:
-        """The rank of the engine that a hint tells, if it is an early one.
+    def rank_of_hint(self, hint: str) -> int | None:
+        """Return the rank of the hinted engine, None if it is not among the first ranks.
 
-        A hint names an engine and not a rank, since ranks shift as engines
-        come and go; that it is looked for only among the chat's own early
-        ranks leaves nothing to gain by making one up.
+        A hint names an engine rather than a rank, because ranks shift as engines join and
+        leave.  It is only looked up among the chat's own first ranks, which makes a forged
+        hint useless.
         """
         if not hint:
             return None
@@ -101,28 +102,28 @@
         if position >= self._length:
             raise IndexError(position)
         if position >= len(self._names):
-            self._names = self._in_order(self._ranking.order(self._chat))
+            self._names = self._holders_first(self._ranking.order(self._chat))
         name = self._names[position]
         engine = self._serving.engines[name]
         load = self._loads.known(name)
         if name in self._full:
             load = Work(max(load.requests, engine.slots), load.tokens)
-        holds, near = name in self._holders, name in self._near
+        holds, local = name in self._holders, name in self._local
         if self._loads.silent(name, self._now):
-            untold = self._loads.untold_at_silent(name)
+            unreported = self._loads.untold_at_silent(name)
         else:
-            untold = self._loads.untold(name)
+            unreported = self._loads.untold(name)
         own = self._loads.own_calls(name)
-        return Candidate(name, load, engine.slots, engine.weight, holds, near, untold, own)
+        return Candidate(name, load, engine.slots, engine.weight, holds, local, unreported, own)
 
 
 def hint_for(engine: str) -> str:
-    """What a caller hands back so that a chat finds this engine again."""
+    """Return the hint that a caller sends back to have a chat placed at `engine` again."""
     return f'{hash32(engine):08x}'
 
 
 class ServiceRouter:
-    """Ranks, bounds and queues the calls of one service on one box."""
+    """Places the calls of one service on one box: ranks engines, bounds load, queues calls."""
 
     def __init__(
         self,
@@ -138,7 +139,7 @@
         self.plan = ServicePlan()
         self.queue = WaitQueue(self.plan.queue_calls)
         #: Ids of calls that wait for the engine that holds their cache.
-        self.patient: list[str] = []
+        self.waiting_for_holder: list[str] = []
         self._engines = engines
         self._loads = loads
         self._holders = holders
@@ -148,36 +149,37 @@
         self._ranking = Ranking()
         self._serving: Serving | None = None
         self._weight = 0.0
-        #: Engines that are up and get no new work have sums of their own: they count for
-        #: the bound.
+        #: Engines that are up but get no new work count for the bound; their load is summed
+        #: in a group of its own.
         self._idle_group = f'{name}/idle'
         self._idle_weight = 0.0
         #: The serving engines in this box's failure domain.
-        self._near: set[str] = set()
-        #: Engines that refused a call as full, and until when that is believed.
+        self._local: set[str] = set()
+        #: Engines that refused a call as full, with the time until which they count as full.
         self._full: dict[str, float] = {}
 
     def use_plan(self, plan: ServicePlan) -> None:
-        """Take over changed settings."""
+        """Apply changed settings."""
         self.plan = plan
         self.queue.size = plan.queue_calls
 
     def any_engine(self, now: float, excluded: frozenset[str] = frozenset()) -> bool:
-        """Whether some engine that is not excluded may get work."""
+        """Return whether any engine that is not excluded may get work."""
         serving = self._engines.serving(self.name, now)
         return any(name not in excluded for name in serving.engines)
 
     def may_take_later(self, call: Call, full_engine: str, now: float) -> bool:
-        """Whether some engine that is left for the call may take it later.
+        """Return whether any engine may take the call now or later.
 
-        `full_engine`, '' for none, refused the call as full: it is one of these.
+        Counts `full_engine`, which refused the call as full, although the call excludes it;
+        '' for none.
         """
         if self.any_engine(now, call.excluded):
             return True
         return bool(full_engine) and self.any_engine(now, call.excluded - {full_engine})
 
-    def note_full(self, engine: str, now: float) -> None:
-        """An engine refused a call because all its slots are taken."""
+    def record_full(self, engine: str, now: float) -> None:
+        """Record that an engine refused a call because all its slots are taken."""
         self._full[engine] = now + FULL_SECONDS
 
     def _full_engines(self, now: float) -> set[str]:
@@ -185,8 +187,8 @@
             self._full = {name: until for name, until in self._full.items() if now < until}
         return set(self._full)
 
-    def _spared(self, serving: Serving, now: float) -> frozenset[str]:
-        """Cold engines that may get nothing more from this box now."""
+    def _throttled(self, serving: Serving, now: float) -> frozenset[str]:
+        """Return the cold engines that may get no more calls from this box now."""
         per_second = self.plan.cold_per_second
         if not serving.cold or not per_second:
             return frozenset()
@@ -196,14 +198,14 @@
             if not self._cold_shares.allows(serving.engines[name].incarnation, per_second, now)
         )
 
-    def note_sent(self, engine: str, now: float) -> None:
-        """A call goes to `engine`."""
-        serving = self._look(now)
+    def record_sent(self, engine: str, now: float) -> None:
+        """Record that a call was sent to `engine`."""
+        serving = self._refresh(now)
         if engine in serving.cold:
             self._cold_shares.sent(serving.engines[engine].incarnation, now)
 
-    def _look(self, now: float) -> Serving:
-        """The engines that serve now; what hangs on them is kept up."""
+    def _refresh(self, now: float) -> Serving:
+        """Return the engines that serve now; update ranking, groups and weights on a change."""
         serving = self._engines.serving(self.name, now)
         if serving is not self._serving:
             self._serving = serving
@@ -212,7 +214,7 @@
             self._loads.set_group(self._idle_group, serving.idle)
             self._weight = sum(engine.weight for engine in serving.engines.values())
             self._idle_weight = sum(engine.weight for engine in serving.idle.values())
-            self._near = {
+            self._local = {
                 name
                 for name, engine in serving.engines.items()
                 if engine.failure_domain == self._failure_domain
@@ -220,20 +222,20 @@
         return serving
 
     def place(self, call: Call, now: float) -> Placed | None:
-        """An engine for the call, or None while all are full.
+        """Choose an engine for the call, None if all are full.
 
-        The caller notes the work in the load table.
+        The caller must add the call to the load table.
         """
-        serving = self._look(now)
+        serving = self._refresh(now)
         holders = self._holders.of(call.chat, now) if call.sticky else []
         candidates = RankedEngines(
             call.chat,
-            call.excluded | self._spared(serving, now),
+            call.excluded | self._throttled(serving, now),
             self._ranking,
             serving,
             self._loads,
             holders,
-            self._near,
+            self._local,
             self._full_engines(now),
             now,
         )
@@ -244,11 +246,11 @@
             self._loads.total(self._idle_group),
             self._loads.own_total(self.name),
         )
-        hint = candidates.place_of(call.hint)
+        hint = candidates.rank_of_hint(call.hint)
         if call.sticky:
             choice = self._chooser(candidates, totals, call.work, self.plan.bound, hint)
         else:
-            choice = choose_least_loaded(candidates, call.work, self._near)
+            choice = choose_least_loaded(candidates, call.work, self._local)
         if choice is None:
             return None
         engine = serving.engines[choice.name]
@@ -284,9 +286,9 @@
     def _other_holder(
         holders: list[str], likely: list[str], chosen: str, serving: Serving
     ) -> Engine | None:
-        """An engine that `chosen` may fetch from, None if it holds all.
+        """Return an engine that `chosen` may fetch the cache from, None if it holds the chat.
 
-        Where no holder is known, those that rank first are the likeliest.
+        If no holder is known, the engines in `likely` are tried.
         """
         if chosen in holders:
             return None
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -15,7 +15,7 @@
     Outcome,
     RetryBudget,
     RetryRule,
-    TicketBook,
+    TicketStore,
     may_retry,
     parse_ticket,
 )
@@ -43,14 +43,14 @@
             self.assertIn(outcome, not_run)
 
     def test_no_second_answer_begins_after_part_of_one(self):
-        self.assertFalse(may_retry(RetryRule(True, 5), Outcome.BROKEN, 1, passed=True))
+        self.assertFalse(may_retry(RetryRule(True, 5), Outcome.BROKEN, 1, answer_started=True))
 
-    def test_the_budget_is_a_part_of_first_attempts(self):
+    def test_the_budget_is_a_share_of_first_attempts(self):
         budget = RetryBudget(0.0, 0.1, 10.0)
         while budget.take(20.0):
             pass
         for _ in range(100):
-            budget.first_attempt(20.0)
+            budget.record_first_attempt(20.0)
         self.assertIn(sum(budget.take(20.0) for _ in range(50)), (9, 10))
 
     @given(st.lists(st.tuples(st.floats(0, 40), st.booleans()), max_size=200))
@@ -60,7 +60,7 @@
         firsts, retries = [], []
         for now, first in sorted(events):
             if first:
-                budget.first_attempt(now)
+                budget.record_first_attempt(now)
                 firsts.append(now)
             elif budget.take(now):
                 retries.append(now)
@@ -69,13 +69,13 @@
             earned = 0.2 * sum(end - 10.0 < at <= end for at in firsts)
             self.assertLessEqual(spent, earned + 2.0)
 
-    def test_a_box_that_just_started_has_one_retry_and_grows_into_its_part(self):
+    def test_a_box_that_just_started_has_one_retry_and_its_share_grows(self):
         budget = RetryBudget(100.0, 0.2, 10.0)
         budget.reserve, budget.boxes = 40.0, 4
         self.assertEqual(1, sum(budget.take(100.0) for _ in range(50)))
         self.assertEqual(4, sum(budget.take(105.0) for _ in range(50)))
 
-    def test_a_part_below_one_retry_gives_none_at_the_start(self):
+    def test_a_share_below_one_retry_gives_none_at_the_start(self):
         budget = RetryBudget(100.0, 0.2, 10.0)
         budget.reserve, budget.boxes = 40.0, 62
         self.assertFalse(budget.take(100.0))
@@ -84,39 +84,39 @@
 class TestTickets(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.book = TicketBook('box-1', 'abc', most=3)
+        self.store = TicketStore('box-1', 'abc', max_tickets=3)
 
-    def test_once(self):
-        (ticket,) = self.book.mint('w', 1, 10, 0.0)
+    def test_a_ticket_is_dispatched_once(self):
+        (ticket,) = self.store.issue('w', 1, 10, 0.0)
         name = parse_ticket(ticket)
-        self.book.begin(name, 'w', 'body', 1.0)
-        self.assertRaises(KeyInUse, self.book.begin, name, 'w', 'body', 2.0)
-        self.assertRaises(KeyMismatch, self.book.begin, name, 'w', 'other', 2.0)
+        self.store.begin(name, 'w', 'body', 1.0)
+        self.assertRaises(KeyInUse, self.store.begin, name, 'w', 'body', 2.0)
+        self.assertRaises(KeyMismatch, self.store.begin, name, 'w', 'other', 2.0)
 
-    def test_again_after_it_did_not_run(self):
-        (ticket,) = self.book.mint('w', 1, 10, 0.0)
+    def test_a_ticket_can_be_used_again_if_its_call_did_not_run(self):
+        (ticket,) = self.store.issue('w', 1, 10, 0.0)
         name = parse_ticket(ticket)
-        self.book.begin(name, 'w', 'body', 1.0)
-        self.book.not_run(name)
-        self.book.begin(name, 'w', 'body', 2.0)
-        self.book.done(name)
-        self.book.not_run(name)
-        self.assertRaises(KeyInUse, self.book.begin, name, 'w', 'body', 3.0)
-
-    def test_of_another_workspace_incarnation_or_time(self):
-        (ticket,) = self.book.mint('w', 1, 10, 0.0)
+        self.store.begin(name, 'w', 'body', 1.0)
+        self.store.mark_not_run(name)
+        self.store.begin(name, 'w', 'body', 2.0)
+        self.store.mark_done(name)
+        self.store.mark_not_run(name)
+        self.assertRaises(KeyInUse, self.store.begin, name, 'w', 'body', 3.0)
+
+    def test_a_ticket_is_unknown_to_another_workspace_or_incarnation_and_after_it_expires(self):
+        (ticket,) = self.store.issue('w', 1, 10, 0.0)
         name = parse_ticket(ticket)
-        self.assertRaises(TicketUnknown, self.book.begin, name, 'v', 'body', 1.0)
-        self.assertRaises(TicketUnknown, self.book.begin, name, 'w', 'body', 10.0)
-        anew = TicketBook('box-1', 'def')
-        self.assertRaises(TicketUnknown, anew.begin, name, 'w', 'body', 1.0)
+        self.assertRaises(TicketUnknown, self.store.begin, name, 'v', 'body', 1.0)
+        self.assertRaises(TicketUnknown, self.store.begin, name, 'w', 'body', 10.0)
+        restarted = TicketStore('box-1', 'def')
+        self.assertRaises(TicketUnknown, restarted.begin, name, 'w', 'body', 1.0)
 
-    def test_the_book_has_an_end(self):
-        self.book.mint('w', 3, 10, 0.0)
-        self.assertRaises(TicketsFull, self.book.mint, 'w', 1, 10, 5.0)
-        self.book.mint('w', 1, 10, 11.0)
+    def test_the_number_of_tickets_is_limited(self):
+        self.store.issue('w', 3, 10, 0.0)
+        self.assertRaises(TicketsFull, self.store.issue, 'w', 1, 10, 5.0)
+        self.store.issue('w', 1, 10, 11.0)
 
-    def test_what_is_no_ticket(self):
+    def test_malformed_tickets_are_rejected(self):
         for text in ('', 'a', 'a.b', 'a..c', 'a.b.c.d'):
             self.assertRaises(TicketUnknown, parse_ticket, text)
 
@@ -124,10 +124,10 @@
 class TestClaimBucket(testtools.TestCase):
     def test_the_first_owner_stays(self):
         bucket = ClaimBucket()
-        self.assertIs(ClaimState.OWNED, bucket.ask(Claim('k', 'a', 'body', 1.0)))
-        self.assertIs(ClaimState.OWNED, bucket.ask(Claim('k', 'a', 'body', 2.0)))
-        self.assertIs(ClaimState.TAKEN, bucket.ask(Claim('k', 'b', 'body', 2.0)))
-        self.assertIs(ClaimState.MISMATCH, bucket.ask(Claim('k', 'b', 'other', 2.0)))
+        self.assertIs(ClaimState.OWNED, bucket.try_claim(Claim('k', 'a', 'body', 1.0)))
+        self.assertIs(ClaimState.OWNED, bucket.try_claim(Claim('k', 'a', 'body', 2.0)))
+        self.assertIs(ClaimState.TAKEN, bucket.try_claim(Claim('k', 'b', 'body', 2.0)))
+        self.assertIs(ClaimState.MISMATCH, bucket.try_claim(Claim('k', 'b', 'other', 2.0)))
         self.assertFalse(bucket.release('k', 'b'))
         again = ClaimBucket.from_spec(bucket.to_spec())
         self.assertEqual(bucket.claims, again.claims)
@@ -148,12 +148,12 @@
         self.addCleanup(writer.stop)
         return writer
 
-    def want(self, writer, key, owner, wait=2.0, bucket=0):
-        ask = ClaimAsk(bucket, key, owner, 'body', wait)
-        return writer.ask(WantClaim(ask))
+    def claim(self, writer, key, owner, wait=2.0, bucket=0):
+        request = ClaimAsk(bucket, key, owner, 'body', wait)
+        return writer.ask(WantClaim(request))
 
     def test_many_claims_share_few_writes(self):
-        replies = [self.want(self.writer, f'k{number}', f'o{number}') for number in range(200)]
+        replies = [self.claim(self.writer, f'k{number}', f'o{number}') for number in range(200)]
         states = {reply.result(5) for reply in replies}
         self.assertEqual({ClaimState.OWNED}, states)
         self.assertLessEqual(self.server.counts['write.claims'], 4)
@@ -163,35 +163,35 @@
         pairs = []
         for number in range(20):
             pairs.append(
-                [self.want(self.writer, f'k{number}', 'a'), self.want(other, f'k{number}', 'b')]
+                [self.claim(self.writer, f'k{number}', 'a'), self.claim(other, f'k{number}', 'b')]
             )
         for pair in pairs:
             states = sorted(reply.result(5) for reply in pair)
             self.assertEqual([ClaimState.OWNED, ClaimState.TAKEN], states)
 
-    def test_a_lost_answer_is_found_again(self):
+    def test_a_claim_whose_write_answer_was_lost_is_recognised(self):
         self.server.set_faults({'lose_answers': 1})
-        self.assertIs(ClaimState.OWNED, self.want(self.writer, 'k', 'a').result(5))
-        self.assertIs(ClaimState.TAKEN, self.want(self.writer, 'k', 'b').result(5))
+        self.assertIs(ClaimState.OWNED, self.claim(self.writer, 'k', 'a').result(5))
+        self.assertIs(ClaimState.TAKEN, self.claim(self.writer, 'k', 'b').result(5))
 
-    def test_an_outage_is_told_in_time(self):
+    def test_an_outage_is_reported_within_the_wait(self):
         self.server.set_faults({'down': True})
-        reply = self.want(self.writer, 'k', 'a', wait=0.3)
+        reply = self.claim(self.writer, 'k', 'a', wait=0.3)
         self.assertRaises(ClaimsUnavailable, reply.result, 5)
 
     def test_a_release_frees_the_key_for_its_owner_only(self):
-        self.want(self.writer, 'k', 'a').result(5)
+        self.claim(self.writer, 'k', 'a').result(5)
         self.writer.send(ReleaseClaim(0, 'k', 'b'))
-        self.assertIs(ClaimState.TAKEN, self.want(self.writer, 'k', 'b').result(5))
+        self.assertIs(ClaimState.TAKEN, self.claim(self.writer, 'k', 'b').result(5))
         self.writer.send(ReleaseClaim(0, 'k', 'a'))
-        self.assertIs(ClaimState.OWNED, self.want(self.writer, 'k', 'c').result(5))
+        self.assertIs(ClaimState.OWNED, self.claim(self.writer, 'k', 'c').result(5))
 
     def test_writes_stay_within_their_rate(self):
         stop = threading.Event()
         began = Environment().monotonic()
         number = 0
         while Environment().monotonic() - began < 1.5:
-            self.want(self.writer, f'k{number}', 'a', bucket=number % 16)
+            self.claim(self.writer, f'k{number}', 'a', bucket=number % 16)
             number += 1
             stop.wait(0.002)
         written = self.server.counts['write.claims']
--- a/tests/test_avoided_engines.py
+++ b/tests/test_avoided_engines.py
@@ -1,4 +1,4 @@
-"""Which engines count for the bound though they get no work."""
+"""Which engines count for the load bound although they get no work."""
 
 import testtools
 
@@ -19,36 +19,36 @@
     def avoided(self) -> set[str]:
         return set(self.view.serving(SERVICE, 0.0).idle)
 
-    def test_one_that_fails_more_than_its_siblings_lives(self):
+    def test_one_that_fails_more_often_than_others_counts(self):
         self.view.eject('a', 0.0)
         self.assertEqual({'a'}, self.avoided())
 
-    def test_one_that_lost_answers_lives(self):
+    def test_one_that_lost_answers_counts(self):
         self.view.failed('a', 0.0, 0.5)
         self.view.failed('a', 0.0, 0.5)
         self.assertEqual({'a'}, self.avoided())
 
-    def test_one_that_refuses_connections_does_not(self):
+    def test_one_that_refuses_connections_does_not_count(self):
         self.view.failed('a', 0.0)
         self.assertEqual(set(), self.avoided())
 
-    def test_one_that_says_it_is_not_the_one_expected_lives(self):
-        EngineHealth(self.view).ended('a', Outcome.MISDIRECTED, 0.0)
+    def test_one_of_another_incarnation_than_expected_counts(self):
+        EngineHealth(self.view).attempt_ended('a', Outcome.MISDIRECTED, 0.0)
         self.assertEqual({'a'}, self.avoided())
 
-    def test_those_that_serve_since_nobody_else_does_are_not_avoided(self):
+    def test_engines_are_not_avoided_if_no_other_serves(self):
         for name in 'abc':
             self.view.eject(name, 0.0)
         self.assertEqual(set(), self.avoided())
 
-    def test_no_more_than_the_limit_are_and_those_go_first_whose_time_is_up_first(self):
+    def test_at_most_the_limit_is_avoided_and_those_due_back_first_serve(self):
         self.view.max_ejection_share = 1 / 3
         for now, name in enumerate('abc'):
             self.view.eject(name, now / 10)
         self.assertEqual({'c'}, set(self.view.serving(SERVICE, 0.3).idle))
         self.assertEqual({'a', 'b'}, set(self.view.serving(SERVICE, 0.3).engines))
 
-    def test_one_always_may_be(self):
+    def test_one_engine_may_always_be_avoided(self):
         self.view.max_ejection_share = 0.0
         self.view.eject('a', 0.0)
         self.assertEqual({'a'}, self.avoided())
@@ -59,7 +59,7 @@
         self.view.eject('b', 0.0)
         self.assertEqual({'c'}, set(self.view.serving(SERVICE, 0.0).engines))
 
-    def test_it_is_served_again_once_it_answers(self):
+    def test_it_gets_work_again_once_it_answers(self):
         self.view.failed('a', 0.0)
         self.view.answered('a')
         self.assertEqual(set('abc'), set(self.view.serving(SERVICE, 0.0).engines))
--- a/tests/test_churn.py
+++ b/tests/test_churn.py
@@ -1,7 +1,7 @@
-"""What is read again though an engine holds it, while engines are replaced.
+"""Chats are seldom read again while engines that hold them serve, also as engines are replaced.
 
-The load is a fleet's first seconds, in which more is read for the first time than boxes
-can tell each other, and then a release that moves what ranks first.
+The load is the first seconds of a fleet, in which more chats are read for the first time than
+boxes can report to each other, followed by a release that changes which engines rank first.
 """
 
 import testtools
@@ -11,7 +11,7 @@
 from seamhold_messages.work import Call, Work
 from seamhold_routing import Router
 
-from .utils.telling_fleet import TellingFleet
+from .utils.gossip_fleet import GossipFleet
 
 BOXES = 40
 ENGINES = 30
@@ -19,20 +19,20 @@
 REPLACED = 8
 BYTES_PER_SECOND = 4096
 CALLS_PER_SECOND = 8.0
-#: Of the calls so large a share may read anew what an engine holds that serves.  Where
-#: the second in rank was not asked it was 0.023 and 0.022, and is 0.007 and 0.006 so.
+#: Maximum share of calls that may read a chat again although an engine that serves holds it.
+#: Fetching from the second rank gives 0.007 and 0.006; without it, 0.023 and 0.022.
 READ_AGAIN_MAX = 0.012
 
 
 class TestChurn(testtools.TestCase):
-    def share(self, fleet: TellingFleet) -> float:
-        """Of the calls since it was asked last, those that read anew."""
+    def share(self, fleet: GossipFleet) -> float:
+        """Return the share of the calls since the last call that read a chat again."""
         share = fleet.read_again / fleet.placed
         fleet.read_again = fleet.placed = 0
         return share
 
     def test_little_is_read_again_in_the_first_seconds_and_in_a_release(self):
-        fleet = TellingFleet(BOXES, ENGINES, BYTES_PER_SECOND, engines_tell=True, chats=CHATS)
+        fleet = GossipFleet(BOXES, ENGINES, BYTES_PER_SECOND, engines_report=True, chats=CHATS)
         fleet.run(6.0, CALLS_PER_SECOND)
         first = self.share(fleet)
         for number in range(REPLACED):
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -1,4 +1,4 @@
-"""What boxes pass on: engines' load, reports of failures, who watches the store."""
+"""Relayed updates: engine load, failure reports and heartbeats of store watchers."""
 
 import random
 
@@ -17,13 +17,13 @@
 from seamhold_placement import LoadTable
 from seamhold_placement.load import FADING_FROM_SECONDS, READING_SECONDS
 from seamhold_routing import Router, Versions
-from seamhold_routing.exchange import NEWER_SECONDS
-from seamhold_routing.relaying import NEWS_SECONDS
+from seamhold_routing.exchange import MIN_NEWER_SECONDS
+from seamhold_routing.relaying import MAX_UPDATE_AGE_SECONDS
 from seamhold_routing.watchers import WATCHERS, WatcherSelection
 
 
 class TestRelayLog(testtools.TestCase):
-    def test_news_is_told_some_times_the_newest_first(self):
+    def test_updates_are_sent_a_fixed_number_of_times_the_newest_first(self):
         log = RelayLog(times=2)
         log.put('a', 1)
         log.put('b', 2)
@@ -32,38 +32,38 @@
         self.assertEqual([1], log.take(9))
         self.assertEqual([], log.take(9))
 
-    def test_newer_news_takes_the_place_of_what_waits(self):
+    def test_a_newer_update_replaces_a_waiting_one(self):
         log = RelayLog(times=2)
         log.put('a', 1)
         log.take(1)
         log.put('a', 2)
         self.assertEqual([[2], [2], []], [log.take(9) for _ in range(3)])
 
-    def test_no_more_waits_than_it_may(self):
+    def test_the_number_of_waiting_updates_is_limited(self):
         log = RelayLog()
         for number in range(WAITING_MAX + 10):
             log.put(number, number)
         self.assertEqual(WAITING_MAX, len(log))
         self.assertEqual([WAITING_MAX + 9], log.take(1))
 
-    def test_nearly_all_boxes_hear_of_it(self):
-        chance = random.Random(1)
+    def test_nearly_all_boxes_receive_an_update(self):
+        rng = random.Random(1)
         for boxes in (8, 30, 87, 195, 600):
             logs = [RelayLog() for _ in range(boxes)]
-            logs[0].put('news', 'news')
-            knowing = {0}
+            logs[0].put('update', 'update')
+            reached = {0}
             while any(len(log) for log in logs):
                 for number, log in enumerate(logs):
-                    for news in log.take(9):
-                        peer = chance.choice([n for n in range(boxes) if n != number])
-                        if peer not in knowing:
-                            knowing.add(peer)
-                            logs[peer].put(news, news)
-            self.assertGreaterEqual(len(knowing), 0.97 * boxes)
+                    for update in log.take(9):
+                        peer = rng.choice([n for n in range(boxes) if n != number])
+                        if peer not in reached:
+                            reached.add(peer)
+                            logs[peer].put(update, update)
+            self.assertGreaterEqual(len(reached), 0.97 * boxes)
 
 
 class TestReadings(testtools.TestCase):
-    """Load by what engines tell: the newest counts, and this box's calls since."""
+    """Load by engine readings: the newest one plus this box's calls since."""
 
     def setUp(self):
         super().setUp()
@@ -73,7 +73,7 @@
     def requests(self) -> int:
         return self.table.estimate('e').requests
 
-    def test_what_an_engine_tells_stands_for_all_boxes_calls(self):
+    def test_a_reading_counts_the_calls_of_all_boxes(self):
         self.table.start('e', Work(1, 10), 0.0)
         self.assertTrue(self.table.read(LoadReading('e', 7), 1.0))
         self.assertEqual(7, self.requests())
@@ -86,27 +86,27 @@
         self.table.finish('e', Work(1, 10), 1.3)
         self.assertEqual(8, self.requests())
 
-    def test_a_reading_that_is_passed_on_is_as_old_as_it_says(self):
+    def test_a_relayed_reading_is_as_old_as_its_age(self):
         self.table.start('e', Work(1, 10), 0.5)
         self.table.start('e', Work(1, 10), 0.9)
         self.table.read(LoadReading('e', 3, age=0.3), 1.0)
         self.assertEqual(4, self.requests())
 
-    def test_an_older_reading_is_no_news(self):
+    def test_an_older_reading_is_rejected(self):
         self.assertTrue(self.table.read(LoadReading('e', 7), 1.0))
         self.assertFalse(self.table.read(LoadReading('e', 2, age=0.5), 1.1))
-        passed_on = LoadReading('e', 2, age=0.1)
-        self.assertFalse(self.table.read(passed_on, 1.1 + NEWER_SECONDS / 2, NEWER_SECONDS))
-        self.assertTrue(self.table.read(passed_on, 1.2, NEWER_SECONDS))
+        relayed = LoadReading('e', 2, age=0.1)
+        self.assertFalse(self.table.read(relayed, 1.1 + MIN_NEWER_SECONDS / 2, MIN_NEWER_SECONDS))
+        self.assertTrue(self.table.read(relayed, 1.2, MIN_NEWER_SECONDS))
         self.assertEqual(2, self.requests())
 
-    def test_an_engine_has_this_box_s_own_calls_at_least(self):
+    def test_the_load_is_at_least_this_box_s_own_calls(self):
         for number in range(3):
             self.table.start('e', Work(1, 10), 0.1 * number)
         self.table.read(LoadReading('e', 1), 1.0)
         self.assertEqual(3, self.requests())
 
-    def test_an_engine_of_whom_nobody_hears_is_known_by_what_boxes_tell(self):
+    def test_without_a_reading_the_load_is_what_boxes_report(self):
         self.table.set_peer('other', {'e': Work(4, 40)})
         self.table.start('e', Work(1, 10), 0.0)
         self.table.answered('e', 0.0, 0.1)
@@ -125,7 +125,7 @@
         self.assertEqual(3, self.requests())
         self.assertEqual(3, self.table.total('s').requests)
 
-    def test_an_engine_that_answers_nobody_holds_what_it_held(self):
+    def test_the_load_of_an_engine_that_answers_no_box_stays(self):
         self.table.set_peer('other', {})
         self.table.set_peer('third', {})
         for number in range(8):
@@ -143,7 +143,7 @@
         self.table.expire(5.1)
         self.assertEqual(1, self.table.known('e').requests)
 
-    def test_a_call_that_hangs_does_not_make_an_engine_silent_that_answers_later_ones(self):
+    def test_a_hanging_call_does_not_make_an_engine_silent_if_later_ones_are_answered(self):
         for sent_at in (0.0, 1.0):
             self.table.start('e', Work(1, 10), sent_at)
         self.assertTrue(self.table.silent('e', 1.1))
@@ -152,26 +152,26 @@
         self.table.start('e', Work(1, 10), 9.0)
         self.assertTrue(self.table.silent('e', 12.0))
 
-    def test_what_peers_sent_to_a_silent_engine_counts_whole(self):
+    def test_all_calls_of_peers_to_a_silent_engine_count(self):
         for peer in ('other', 'third'):
             self.table.set_peer(peer, {})
         self.table.read(LoadReading('e', 9), 1.0)
         self.table.start('e', Work(1, 10), 1.1)
         self.assertEqual(Work(2, 20), self.table.untold_at_silent('e'))
 
-    def test_nothing_is_kept_of_engines_that_come_and_go(self):
+    def test_state_of_removed_engines_is_dropped(self):
         for number in range(50):
             self.table.start(f'e{number}', Work(1, 10), number)
             self.table.finish(f'e{number}', Work(1, 10), number)
             self.table.expire(float(number))
         self.assertLess(len(self.table._changes), 5)
 
-    def test_a_call_that_ends_unanswered_waits_no_more(self):
+    def test_a_call_that_ends_unanswered_is_no_longer_pending(self):
         self.table.start('e', Work(1, 10), 0.0)
         self.table.finish('e', Work(1, 10), 5.0, sent_at=0.0)
         self.assertFalse(self.table.silent('e', 9.0))
 
-    def test_boxes_are_told_only_what_engines_do_not_tell(self):
+    def test_digests_only_carry_load_at_engines_without_readings(self):
         self.table.start('e', Work(1, 10), 0.0)
         self.table.start('f', Work(1, 10), 0.0)
         self.table.read(LoadReading('e', 1), 0.1)
@@ -199,8 +199,8 @@
             self.assertGreaterEqual(table.estimate(name).requests, 0)
 
 
-class TestPassingOn(testtools.TestCase):
-    """A chain of boxes of which each tells only the next."""
+class TestRelayChain(testtools.TestCase):
+    """A chain of boxes that each send only to the next."""
 
     def setUp(self):
         super().setUp()
@@ -214,28 +214,28 @@
         names.add([*self.names, *(engine.name for engine in self.engines)])
         self.readers = [DigestReader(names) for _ in self.names]
 
-    def pass_along(self, now: float) -> None:
-        """Each box tells the next, as it travels."""
+    def send_along(self, now: float) -> None:
+        """Send each box's encoded digest to the next box, in order."""
         for number, router in enumerate(self.routers[:-1]):
             (digest,) = router.digests_for([self.names[number + 1]], Versions(), now)
-            heard = self.readers[number + 1].read(EncodedDigest(digest).data)
-            self.routers[number + 1].hear(heard, now)
+            received = self.readers[number + 1].read(EncodedDigest(digest).data)
+            self.routers[number + 1].receive_digest(received, now)
 
-    def test_load_that_an_engine_told_one_box_reaches_boxes_that_it_does_not_tell(self):
-        self.routers[0].engine_told('e1', 5, 1.0, 1.0)
-        self.pass_along(1.1)
+    def test_load_reported_to_one_box_reaches_boxes_that_it_does_not_send_to(self):
+        self.routers[0].record_engine_load('e1', 5, 1.0, 1.0)
+        self.send_along(1.1)
         self.assertEqual(5, self.routers[3].loads.estimate('e1').requests)
 
-    def test_a_placement_tells_how_old_the_load_is_that_decided_it(self):
+    def test_a_placement_records_the_age_of_the_load_it_is_based_on(self):
         router = self.routers[0]
         call = Call('one', 'w', 's', 'chat', Work(1, 1), 9.0)
         (placed,) = router.admit(call, 1.0)
         self.assertIsNone(placed.load_age)
-        router.engine_told(placed.engine, 1, 1.1, 1.1)
+        router.record_engine_load(placed.engine, 1, 1.1, 1.1)
         (placed,) = router.admit(replace(call, id='two'), 1.4)
         self.assertAlmostEqual(0.3, placed.load_age)
 
-    def test_a_placement_tells_of_a_silent_engine_and_of_the_mean_of_all(self):
+    def test_a_placement_records_a_silent_engine_and_the_mean_of_all(self):
         router = self.routers[0]
         call = Call('one', 'w', 's', 'chat', Work(1, 1), 9.0)
         (first,) = router.admit(call, 1.0)
@@ -249,30 +249,30 @@
         self.assertTrue(second.silent)
         self.assertLess(second.mean_of_all, second.mean)
 
-    def test_calls_that_were_on_their_way_when_an_engine_told_its_load_count(self):
+    def test_calls_in_transit_when_an_engine_reported_its_load_count(self):
         router = self.routers[0]
         for started in (1.0, 1.05, 1.1):
             router.loads.start('e1', Work(1, 1), started)
-        router.engine_told('e1', 4, 1.0, 1.2)
+        router.record_engine_load('e1', 4, 1.0, 1.2)
         self.assertEqual(6, router.loads.estimate('e1').requests)
 
-    def test_a_box_tells_how_old_what_it_knows_is(self):
+    def test_a_box_reports_the_age_of_its_state(self):
         decider = Decider(self.routers[0], lambda: 2.0)
         knowledge = decider.ask(WantReport()).result().knowledge
         self.assertEqual(KnowledgeReport(None, 0, None, 0), knowledge)
         self.routers[0].store_answered(0.5)
-        self.routers[0].engine_told('e1', 2, 1.75, 1.75)
+        self.routers[0].record_engine_load('e1', 2, 1.75, 1.75)
         knowledge = decider.ask(WantReport()).result().knowledge
         self.assertEqual(KnowledgeReport(1.5, 1, 0.25, 0), knowledge)
 
-    def test_an_engine_that_is_not_listed_tells_nothing(self):
-        self.routers[0].engine_told('gone', 5, 1.0, 1.0)
-        self.pass_along(1.1)
+    def test_load_of_an_unlisted_engine_is_ignored(self):
+        self.routers[0].record_engine_load('gone', 5, 1.0, 1.0)
+        self.send_along(1.1)
         self.assertEqual(0, self.routers[3].loads.estimate('gone').requests)
 
     def test_failures_at_one_box_are_counted_by_all(self):
-        self.routers[0].health._failed('e1', 1.0)
-        self.pass_along(1.1)
+        self.routers[0].health._record_failure('e1', 1.0)
+        self.send_along(1.1)
         self.assertEqual({'e1': 1}, self.routers[3].health.failures.totals(1.2))
 
     def test_an_engine_that_three_boxes_suspect_is_avoided_by_all(self):
@@ -281,30 +281,30 @@
             (placed,) = router.admit(call, 1.0)
             self.assertIsInstance(placed, Placed)
             router.engines.failed('e1', 1.0)
-            router.health._untold['e1'] = None
-        self.pass_along(1.1)
+            router.health._unreported['e1'] = None
+        self.send_along(1.1)
         self.assertEqual(Phase.SUSPECT, self.routers[3].engines.phase('e1', 1.2))
 
-    def test_when_the_store_answered_last_is_passed_on(self):
+    def test_the_time_of_the_last_store_answer_is_relayed(self):
         self.routers[0].store_answered(1.0)
-        self.pass_along(1.5)
-        self.assertAlmostEqual(1.0, self.routers[3].exchange.store_seen_at, delta=0.1)
+        self.send_along(1.5)
+        self.assertAlmostEqual(1.0, self.routers[3].exchange.store_answered_at, delta=0.1)
 
-    def test_word_of_a_watcher_that_stopped_dies_out(self):
+    def test_relayed_heartbeats_of_a_stopped_watcher_expire(self):
         router = self.routers[0]
         (digest,) = router.digests_for(['peer'], Versions(), 1.0)
-        told = set()
+        sent = set()
         for step in range(8):
             now = 1.0 + step
             heartbeat = WatcherHeartbeat('box-1', age=float(step))
-            router.hear(replace(digest, box='box-2', watchers=(heartbeat,)), now)
-            router.follows_store(now)
+            router.receive_digest(replace(digest, box='box-2', watchers=(heartbeat,)), now)
+            router.watches_store(now)
             (message,) = router.digests_for(['peer'], Versions(), now)
             if any(heartbeat.box == 'box-1' for heartbeat in message.watchers):
-                told.add(step)
-        self.assertEqual(set(range(int(NEWS_SECONDS) + 1)), told)
+                sent.add(step)
+        self.assertEqual(set(range(int(MAX_UPDATE_AGE_SECONDS) + 1)), sent)
 
-    def test_all_that_is_passed_on_survives_the_way(self):
+    def test_relayed_updates_survive_encoding(self):
         digest = Digest(
             'box-0',
             'x',
@@ -313,14 +313,18 @@
             watchers=(WatcherHeartbeat('box-2', 0.3),),
             store_age=2.0,
         )
-        heard = self.readers[0].read(EncodedDigest(digest).data)
-        (reading,), (report,), (heartbeat,) = heard.readings, heard.reports, heard.watchers
+        received = self.readers[0].read(EncodedDigest(digest).data)
+        (reading,), (report,), (heartbeat,) = (
+            received.readings,
+            received.reports,
+            received.watchers,
+        )
         self.assertEqual(('e1', 300), (reading.engine, reading.requests))
         self.assertEqual(('box-1', 'e2', 4), (report.origin, report.engine, report.count))
         self.assertEqual((2**31, 77), (report.stamp, report.incarnation_key))
         self.assertEqual('box-2', heartbeat.box)
-        for sent, told in ((0.1, reading), (0.2, report), (0.3, heartbeat)):
-            self.assertTrue(sent < told.age <= sent + 0.02001, told)
+        for age, update in ((0.1, reading), (0.2, report), (0.3, heartbeat)):
+            self.assertTrue(age < update.age <= age + 0.02001, update)
 
 
 class TestWatcherSelection(testtools.TestCase):
@@ -340,37 +344,37 @@
             selection.begin(0.0)
         return selections
 
-    def test_so_many_boxes_of_the_whole_fleet_watch(self):
+    def test_a_fixed_number_of_boxes_of_the_whole_fleet_watch(self):
         self.assertEqual(WATCHERS, len(self.watchers(self.selections(), 0.5)))
 
-    def test_those_of_whom_no_word_comes_are_replaced(self):
+    def test_watchers_without_heartbeats_are_replaced(self):
         selections = self.selections()
         first = self.watchers(selections, 0.5)
         dead = sorted(first)[:2]
         for selection in selections.values():
             for name in first - {*dead}:
-                selection.heard(name, 1.4)
+                selection.record_heartbeat(name, 1.4)
         second = self.watchers(selections, 1.5)
         self.assertEqual(WATCHERS, len(second - {*dead}))
         self.assertTrue(first - {*dead} <= second)
 
-    def test_those_that_stay_silent_too_are_replaced_in_their_turn(self):
+    def test_replacements_that_are_silent_too_are_replaced_in_turn(self):
         selections = self.selections()
         seen = set()
         for step in range(4):
             seen |= self.watchers(selections, 0.5 + step * 1.1)
         self.assertEqual(4 * WATCHERS, len(seen))
 
-    def test_one_that_the_store_turns_away_is_passed_over_at_once(self):
+    def test_a_box_that_lost_the_store_is_skipped_at_once(self):
         selections = self.selections()
         lost = self.watchers(selections, 0.5)
         self.assertEqual(WATCHERS, len(self.watchers(selections, 0.6, lost=lost) - lost))
 
-    def test_one_that_is_back_watches_again(self):
+    def test_a_watcher_that_returns_watches_again(self):
         selections = self.selections()
         first = self.watchers(selections, 0.5)
         self.watchers(selections, 1.6)
         for selection in selections.values():
             for name in first:
-                selection.heard(name, 2.0)
+                selection.record_heartbeat(name, 2.0)
         self.assertEqual(first, self.watchers(selections, 2.1))
--- a/tests/utils/telling_fleet.py
+++ b/tests/utils/gossip_fleet.py
@@ -1,4 +1,4 @@
-"""Routers that tell each other their digests within a byte budget, with a hand-set clock."""
+"""Routers that send each other digests within a byte budget, on a simulated clock."""
 
 import itertools
 import random
@@ -19,24 +19,24 @@
 SERVICE = 'llm'
 STEP_SECONDS = 0.05
 DIGEST_SECONDS = 0.25
-LOOK_SECONDS = 0.5
+TICK_SECONDS = 0.5
 CALL_SECONDS = 0.5
-#: Into its call an engine begins to answer, and tells its load.
+#: Time after the start of a call at which its engine begins to answer and reports its load.
 ANSWER_SECONDS = 0.1
 DEADLINE_SECONDS = 10.0
 SLOTS = 64
-#: The promise that is checked: this multiple of the mean, and so many calls more.
-PROMISED_MULTIPLE = 2.0
-PROMISED_MORE = 3
+#: The load guarantee under test: at most this multiple of the mean load, plus this many calls.
+GUARANTEED_MULTIPLE = 2.0
+GUARANTEED_EXTRA = 3
 
 
-class TellingBox:
-    """One router with its budget; what it tells is encoded as it travels."""
+class GossipBox:
+    """One router with its byte budget, and the encoder and reader of its digests."""
 
     def __init__(self, name: str, boxes: list[Box], engines: list[Engine], control: Control):
         self.router = Router(name, f'{name}-start')
         placement = Placement(
-            patience=0.0, load_multiple=PROMISED_MULTIPLE, admit_share=0.85, floor_requests=3
+            patience=0.0, load_multiple=GUARANTEED_MULTIPLE, admit_share=0.85, floor_requests=3
         )
         self.router.use_settings(Tree(FleetSpec(control=control, placement=placement)))
         self.router.set_engines(engines, 0.0)
@@ -48,14 +48,14 @@
         names.add(box.name for box in boxes)
         self.reader = DigestReader(names)
         self.receiver = DigestReceiver()
-        self.tells_at = 0.0
-        self.looks_at = 0.0
+        self.sends_at = 0.0
+        self.ticks_at = 0.0
 
 
 class Running(Struct):
     """A call at an engine."""
 
-    box: TellingBox
+    box: GossipBox
     call: Call
     engine: str
     answers_at: float
@@ -63,11 +63,11 @@
     answered: bool = False
 
 
-class TellingFleet:
-    """Boxes that all place calls and tell each other; pairs may be cut.
+class GossipFleet:
+    """Boxes that all place calls and send each other digests; some may be cut off.
 
-    With `engines_tell` each answer tells what runs at its engine.  `chats` is how many
-    chats there are, a new one for each call if it is 0.
+    With `engines_report` each answer reports the calls that run at its engine.  `chats` is
+    the number of chats; 0 makes a new one for each call.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         boxes: int,
         engines: int,
         bytes_per_second: int,
-        engines_tell: bool = False,
+        engines_report: bool = False,
         chats: int = 0,
     ):
         control = Control(control_bytes_per_second=bytes_per_second, digest_seconds=DIGEST_SECONDS)
@@ -85,49 +85,49 @@
             for number in range(engines)
         ]
         self.boxes = {
-            box.name: TellingBox(box.name, listed, self.engines, control) for box in listed
+            box.name: GossipBox(box.name, listed, self.engines, control) for box in listed
         }
         self.now = 0.0
-        #: Boxes that hear and reach no others.
+        #: Boxes that neither receive from others nor reach them.
         self.cut: set[str] = set()
-        #: Engines that no call reaches.
+        #: Engines that are unreachable.
         self.dead: set[str] = set()
         self.placed = 0
-        #: Calls that met an engine above what is promised.
+        #: Calls placed at an engine above the guaranteed load.
         self.above = 0
         self.bytes_sent = 0
-        #: Engines by chat that have read it, and the calls that read one anew though an
-        #: engine that serves held it.
+        #: Engines that have read each chat, and the number of calls that read a chat again
+        #: although an engine that serves held it.
         self.read: dict[str, set[str]] = defaultdict(set)
         self.read_again = 0
-        self._engines_tell = engines_tell
+        self._engines_report = engines_report
         self._chats = chats
         self._numbers = itertools.count()
         self._running: list[Running] = []
-        self._at: Counter[str] = Counter()
-        self._chance = random.Random(1)
+        self._in_flight: Counter[str] = Counter()
+        self._rng = random.Random(1)
         for box in self.boxes.values():
-            box.tells_at = self._chance.uniform(0.0, DIGEST_SECONDS)
-            box.looks_at = self._chance.uniform(0.0, LOOK_SECONDS)
+            box.sends_at = self._rng.uniform(0.0, DIGEST_SECONDS)
+            box.ticks_at = self._rng.uniform(0.0, TICK_SECONDS)
 
     def run(self, seconds: float, calls_per_second: float) -> None:
-        """Let time pass while each box gets so many calls a second."""
+        """Simulate `seconds` in which each box gets `calls_per_second`."""
         ends = self.now + seconds
         while self.now < ends:
             self.now += STEP_SECONDS
             self._end_calls()
             for box in self.boxes.values():
-                if self._chance.random() < calls_per_second * STEP_SECONDS:
+                if self._rng.random() < calls_per_second * STEP_SECONDS:
                     self._call(box)
-                if self.now >= box.looks_at:
-                    box.looks_at = self.now + LOOK_SECONDS
+                if self.now >= box.ticks_at:
+                    box.ticks_at = self.now + TICK_SECONDS
                     box.router.tick(self.now)
-                if self.now >= box.tells_at:
-                    box.tells_at += DIGEST_SECONDS
-                    self._tell(box)
+                if self.now >= box.sends_at:
+                    box.sends_at += DIGEST_SECONDS
+                    self._send_digests(box)
 
     def replace_engine(self, number: int) -> None:
-        """An engine goes and another comes; all boxes know it at once."""
+        """Replace an engine by a new one, which all boxes learn at once."""
         gone = self.engines[number]
         name = f'{gone.name}-next'
         self.engines[number] = Engine(
@@ -140,64 +140,64 @@
             box.router.set_engines(list(self.engines), self.now)
 
     def restart(self) -> None:
-        """All boxes start anew at once; what they ran goes on at the engines."""
+        """Restart all boxes at once; their calls continue at the engines."""
         for name, box in self.boxes.items():
             control = box.router.tree.fleet.control
             listed = [Box(other, f'{other}:1') for other in self.boxes]
-            self.boxes[name] = fresh = TellingBox(name, listed, self.engines, control)
+            self.boxes[name] = fresh = GossipBox(name, listed, self.engines, control)
             fresh.router.exchange._incarnation = f'{name}-again'
             fresh.router.set_engines(self.engines, self.now)
             fresh.router.set_boxes(listed, self.now)
             fresh.budget = box.budget
-            fresh.tells_at = fresh.looks_at = self.now
+            fresh.sends_at = fresh.ticks_at = self.now
         for running in self._running:
             running.answered = True
 
-    def _call(self, box: TellingBox) -> None:
+    def _call(self, box: GossipBox) -> None:
         number = next(self._numbers)
-        chat = self._chance.randrange(self._chats) if self._chats else number
+        chat = self._rng.randrange(self._chats) if self._chats else number
         deadline = self.now + DEADLINE_SECONDS
         call = Call(f'call-{number}', 'w', SERVICE, f'chat-{chat}', Work(1, 1), deadline)
         (placed,) = box.router.admit(call, self.now)
         if not isinstance(placed, Placed):
             return
         if placed.engine in self.dead:
-            box.router.attempted(call.id, Outcome.NOT_SENT, self.now)
+            box.router.attempt_ended(call.id, Outcome.NOT_SENT, self.now)
             box.router.close(call.id, self.now)
             return
-        self._at[placed.engine] += 1
+        self._in_flight[placed.engine] += 1
         self.placed += 1
         held = self.read[call.chat]
         self.read_again += bool(held) and not held & {placed.engine, placed.fetch_engine}
         held.add(placed.engine)
-        allowed = PROMISED_MULTIPLE * self.mean_load() + PROMISED_MORE
-        self.above += self._at[placed.engine] > allowed
+        limit = GUARANTEED_MULTIPLE * self.mean_load() + GUARANTEED_EXTRA
+        self.above += self._in_flight[placed.engine] > limit
         answers_at, ends_at = self.now + ANSWER_SECONDS, self.now + CALL_SECONDS
         self._running.append(Running(box, call, placed.engine, answers_at, ends_at))
 
     def _end_calls(self) -> None:
-        left = []
+        still_running = []
         for running in self._running:
             router = running.box.router
             if not running.answered and running.answers_at <= self.now:
                 running.answered = True
-                router.began(running.call.id, self.now)
-                if self._engines_tell:
-                    requests = self._at[running.engine]
+                router.answer_started(running.call.id, self.now)
+                if self._engines_report:
+                    requests = self._in_flight[running.engine]
                     sent_at = running.answers_at - ANSWER_SECONDS
-                    router.engine_told(running.engine, requests, sent_at, self.now)
+                    router.record_engine_load(running.engine, requests, sent_at, self.now)
             if running.ends_at > self.now:
-                left.append(running)
+                still_running.append(running)
                 continue
-            self._at[running.engine] -= 1
-            router.attempted(running.call.id, Outcome.DONE, self.now)
+            self._in_flight[running.engine] -= 1
+            router.attempt_ended(running.call.id, Outcome.DONE, self.now)
             router.close(running.call.id, self.now)
-        self._running = left
+        self._running = still_running
 
-    def _tell(self, box: TellingBox) -> None:
-        near = {other.name for other in box.router.boxes.neighbours()}
-        most = box.router.tree.fleet.control.digest_peers
-        names = [name for name in box.order.of(self.boxes) if name in near][:most]
+    def _send_digests(self, box: GossipBox) -> None:
+        neighbours = {other.name for other in box.router.boxes.neighbours()}
+        limit = box.router.tree.fleet.control.digest_peers
+        names = [name for name in box.order.of(self.boxes) if name in neighbours][:limit]
         sent = []
         for name, digest in zip(
             names, box.router.digests_for(names, Versions(), self.now), strict=True
@@ -212,20 +212,20 @@
                 self._deliver(self.boxes[name], encoded)
         box.router.digests_sent(sent)
 
-    def _deliver(self, box: TellingBox, encoded: EncodedDigest) -> None:
+    def _deliver(self, box: GossipBox, encoded: EncodedDigest) -> None:
         digest = box.reader.read(encoded.data)
         if digest is not None:
-            box.router.hear(digest, self.now)
+            box.router.receive_digest(digest, self.now)
 
     def mean_load(self) -> float:
-        """Calls in flight at an engine, on the average."""
+        """Return the mean number of calls in flight at an engine."""
         return len(self._running) / (len(self.engines) - len(self.dead))
 
-    def known_share(self) -> float:
-        """What boxes believe of all calls in flight, over what there is."""
-        truth = len(self._running)
-        believed = [
+    def estimated_share(self) -> float:
+        """Return the mean of the boxes' estimates of all calls in flight, over their number."""
+        actual = len(self._running)
+        estimates = [
             sum(box.router.loads.estimate(engine.name).requests for engine in self.engines)
             for box in self.boxes.values()
         ]
-        return sum(believed) / len(believed) / truth
+        return sum(estimates) / len(estimates) / actual
