--- a/measure/drive.py
+++ b/measure/drive.py
@@ -289,7 +289,7 @@
 
     def _answer(self, box: str, call_id: str) -> None:
         if box in self.routers:
-            self.routers[box].began(call_id, self.now)
+            self.routers[box].answer_started(call_id, self.now)
 
     def _finish(self, call_id: str, incarnation: int, work: Work) -> None:
         box, name, _, _ = self._live.get(call_id, ('', '', None, None))
@@ -298,7 +298,7 @@
         self.engines[name].load -= work
         self._end(call_id)
         if box in self.routers:
-            decisions = self.routers[box].attempted(call_id, Outcome.DONE, self.now)
+            decisions = self.routers[box].attempt_ended(call_id, Outcome.DONE, self.now)
             self._act(box, decisions + self.routers[box].close(call_id, self.now))
 
     def _fail(self, call_id: str, box: str, engine: str, not_sent: bool = False) -> None:
@@ -308,10 +308,10 @@
             return
         router = self.routers[box]
         outcome = Outcome.NOT_SENT if not_sent else Outcome.BROKEN
-        decisions = router.attempted(call_id, outcome, self.now)
+        decisions = router.attempt_ended(call_id, outcome, self.now)
         router.exclude(call_id, engine)
         self._live[call_id] = (box, '', *self._live[call_id][2:])
-        self._act(box, decisions + router.again(call_id, self.now))
+        self._act(box, decisions + router.retry_call(call_id, self.now))
 
     def _end(self, call_id: str) -> None:
         _, _, chat, _ = self._live.pop(call_id)
@@ -353,7 +353,7 @@
 
     def _hear(self, peer: str, digest) -> None:
         if peer in self.routers:
-            self._act(peer, self.routers[peer].hear(digest, self.now))
+            self._act(peer, self.routers[peer].receive_digest(digest, self.now))
 
     def _sample(self) -> None:
         self.at(self.now + SAMPLE_SECONDS, self._sample)
--- a/measure/slopes.py
+++ b/measure/slopes.py
@@ -10,7 +10,7 @@
 
 from seamhold_attempts.claims import Claim, ClaimBucket
 from seamhold_attempts.retry import Outcome
-from seamhold_attempts.tickets import TicketBook
+from seamhold_attempts.tickets import TicketStore
 from seamhold_membership import Digest, Event, EventKind
 from seamhold_messages.fleet import Box, Engine
 from seamhold_messages.hashing import hash32
@@ -90,7 +90,7 @@
             call = Call(f'c{number}', 'w', 'chat', f'chat-{number}', Work(1, 400), now + 60)
             router.admit(call, now)
             done = f'c{number - IN_FLIGHT}'
-            router.attempted(done, Outcome.DONE, now)
+            router.attempt_ended(done, Outcome.DONE, now)
             router.close(done, now)
 
     calls()
@@ -131,7 +131,7 @@
             }
             digest = Digest('box-1', 'x', loads=loads, seq=next(numbers))
             EncodedDigest(digest)
-            router.hear(digest, float(step))
+            router.receive_digest(digest, float(step))
 
     return best_time(hear_many) / 100 * 1e6
 
@@ -183,9 +183,9 @@
     return memory_of(lambda: _book(count))
 
 
-def _book(count: int) -> TicketBook:
-    book = TicketBook('box-0', 'abcdef', most=10**6)
-    book.mint('workspace', count, 900.0, 0.0)
+def _book(count: int) -> TicketStore:
+    book = TicketStore('box-0', 'abcdef', max_tickets=10**6)
+    book.issue('workspace', count, 900.0, 0.0)
     return book
 
 
--- a/models/claims.py
+++ b/models/claims.py
@@ -47,7 +47,7 @@
 def ask(owner: str, number: int) -> ClaimState:
     """What the packages' bucket answers for this box's claim."""
     held = {KEY: Claim(KEY, owner, 'body', 0.0)} if owner else {}
-    return ClaimBucket(held).ask(Claim(KEY, f'box-{number}', 'body', 0.0))
+    return ClaimBucket(held).try_claim(Claim(KEY, f'box-{number}', 'body', 0.0))
 
 
 def read(state: State, number: int) -> State:
--- a/packages/router/seamhold/budgets.py
+++ b/packages/router/seamhold/budgets.py
@@ -23,10 +23,10 @@
         with self._lock:
             self._control = control
 
-    def first_attempt(self, service: str) -> None:
+    def record_first_attempt(self, service: str) -> None:
         """A call of `service` was sent for the first time."""
         with self._lock:
-            self._budget(service).first_attempt(self._clock())
+            self._budget(service).record_first_attempt(self._clock())
 
     def take(self, service: str) -> bool:
         """Whether one more retry is within the budget; if so it is spent."""
--- a/packages/router/seamhold/case_keeper.py
+++ b/packages/router/seamhold/case_keeper.py
@@ -139,7 +139,7 @@
 
     def _may_risk(self, message: WantStanding, now: float) -> bool:
         ended = self._quarantine.lately_ended(message.request, now)
-        return self._router.may_risk(message.service, ended, now)
+        return self._router.may_risk_engine(message.service, ended, now)
 
     def _hear_cases(self, message: HearCases) -> None:
         if self._quarantine.merge(message.cases, self._clock()):
--- a/packages/router/seamhold/claims.py
+++ b/packages/router/seamhold/claims.py
@@ -142,10 +142,10 @@
             held = self._held.get(number) or self._read(number)
             bucket = ClaimBucket(held.bucket.claims)
             now = self._environment.unix_time()
-            bucket.forget(now - self._control().claim_seconds)
+            bucket.drop_before(now - self._control().claim_seconds)
             for release in releases:
                 bucket.release(release.key, release.owner)
-            states = [bucket.ask(self._claim(message.ask, now)) for message in wanted]
+            states = [bucket.try_claim(self._claim(message.ask, now)) for message in wanted]
             if bucket.claims == held.bucket.claims:
                 return states
             try:
--- a/packages/router/seamhold/decider.py
+++ b/packages/router/seamhold/decider.py
@@ -91,7 +91,7 @@
         self.handlers = {
             Admit: self._admit,
             Again: self._again,
-            Began: lambda message: self._router.began(message.call_id, self._clock()),
+            Began: lambda message: self._router.answer_started(message.call_id, self._clock()),
             Attempted: self._attempted,
             Closed: self._closed,
             Abandon: self._abandon,
@@ -124,7 +124,7 @@
         """Let time pass in the routing state."""
         now = self._clock()
         self._next_tick = now + LOOK_SECONDS
-        self._note_role(self._router.follows_store(now))
+        self._note_role(self._router.watches_store(now))
         self._router.store_lost = self.store_lost
         decisions = self._router.tick(now)
         self._tell_uses(now)
@@ -204,15 +204,15 @@
 
     def _again(self, message: Again) -> Again:
         now = self._clock()
-        decisions = self._router.attempted(message.call_id, message.outcome, now)
+        decisions = self._router.attempt_ended(message.call_id, message.outcome, now)
         self._router.exclude(message.call_id, message.failed_engine)
         self._replies[message.call_id] = message.reply
         full_engine = message.failed_engine if message.outcome in REFUSALS else ''
-        self._deliver(decisions + self._router.again(message.call_id, now, full_engine))
+        self._deliver(decisions + self._router.retry_call(message.call_id, now, full_engine))
         return message
 
     def _attempted(self, message: Attempted) -> None:
-        self._deliver(self._router.attempted(message.call_id, message.outcome, self._clock()))
+        self._deliver(self._router.attempt_ended(message.call_id, message.outcome, self._clock()))
 
     def _closed(self, message: Closed) -> None:
         self._replies.pop(message.call_id, None)
@@ -230,7 +230,7 @@
 
     def _engine_told(self, message: EngineTold) -> None:
         now = self._clock()
-        self._router.engine_told(message.engine, message.requests, message.sent_at, now)
+        self._router.record_engine_load(message.engine, message.requests, message.sent_at, now)
 
     def _use_settings(self, message: UseSettings) -> None:
         self._router.use_settings(message.tree)
@@ -282,7 +282,7 @@
         )
 
     def _hear(self, message: Hear) -> None:
-        self._deliver(self._router.hear(message.digest, self._clock()))
+        self._deliver(self._router.receive_digest(message.digest, self._clock()))
 
     def _digests(self, message: WantDigests) -> list[Digest]:
         versions = Versions(
@@ -330,7 +330,7 @@
         )
 
     def _knowledge(self, now: float) -> KnowledgeReport:
-        seen_at = self._router.exchange.store_seen_at
+        seen_at = self._router.exchange.store_answered_at
         ages = self._router.loads.reading_ages(now)
         return KnowledgeReport(
             None if seen_at is None else round(now - seen_at, 3),
--- a/packages/router/seamhold/runner.py
+++ b/packages/router/seamhold/runner.py
@@ -81,7 +81,7 @@
             begun = True
             self._check_time(job)
             self._permit_still(job)
-            self._budgets.first_attempt(job.call.service)
+            self._budgets.record_first_attempt(job.call.service)
             return self._attempts(job, placed)
         except SeamholdError as error:
             self._close(job)
--- a/packages/router/seamhold/serve.py
+++ b/packages/router/seamhold/serve.py
@@ -5,7 +5,7 @@
 import signal
 import threading
 
-from seamhold_attempts.tickets import TicketBook
+from seamhold_attempts.tickets import TicketStore
 from seamhold_messages.fleet import Box
 from seamhold_platform import ObjectKind, PlatformClient
 from seamhold_routing import Router
@@ -62,7 +62,7 @@
         self.decider.on_engine_uses = EngineUses(self.metrics).note
         self.keeper = SettingsKeeper(self.metrics, self._settings_changed)
         self.claims = ClaimWriter(self.platform, environment, self.metrics, self._control)
-        self.tickets = TicketDesk(TicketBook(config.box, self.incarnation), clock)
+        self.tickets = TicketDesk(TicketStore(config.box, self.incarnation), clock)
         self.budgets = RetryBudgets(clock)
         self.engines = EngineClient()
         self.peering = Peering(config, self.decider, self.keeper, environment, self.metrics, chance)
--- a/packages/router/seamhold/tickets.py
+++ b/packages/router/seamhold/tickets.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from seamhold_attempts.tickets import TicketBook, TicketName
+from seamhold_attempts.tickets import TicketName, TicketStore
 
 from .tasks import Ask, Task
 
@@ -42,19 +42,19 @@
 
     name = 'tickets'
 
-    def __init__(self, book: TicketBook, clock: Callable[[], float]):
+    def __init__(self, book: TicketStore, clock: Callable[[], float]):
         super().__init__()
         self._book = book
         self._clock = clock
         self.handlers = {
             MintTickets: self._mint,
             BeginTicket: self._begin,
-            TicketNotRun: lambda message: book.not_run(message.ticket),
-            TicketDone: lambda message: book.done(message.ticket),
+            TicketNotRun: lambda message: book.mark_not_run(message.ticket),
+            TicketDone: lambda message: book.mark_done(message.ticket),
         }
 
     def _mint(self, message: MintTickets) -> list[str]:
-        return self._book.mint(message.workspace, message.count, message.lifetime, self._clock())
+        return self._book.issue(message.workspace, message.count, message.lifetime, self._clock())
 
     def _begin(self, message: BeginTicket) -> None:
         self._book.begin(message.ticket, message.workspace, message.body_hash, self._clock())
--- a/scenarios/mutants.py
+++ b/scenarios/mutants.py
@@ -160,7 +160,7 @@
     Mutant(
         'peers are not told of leaving engines',
         'routing/seamhold_routing/exchange.py',
-        'events=known.events.pending(EVENTS_PER_DIGEST),',
+        'events=state.events.pending(EVENTS_PER_DIGEST),',
         'events=[],',
         'One box meets a leaving engine, and all boxes stay away',
     ),
--- a/tests/test_control_overload.py
+++ b/tests/test_control_overload.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from .utils.telling_fleet import TellingFleet
+from .utils.gossip_fleet import GossipFleet
 
 BOXES = 40
 ENGINES = 24
@@ -15,16 +15,16 @@
 
 class TestControlOverload(testtools.TestCase):
     def test_boxes_know_most_of_the_load_on_a_calm_day(self):
-        fleet = TellingFleet(BOXES, ENGINES, BYTES_PER_SECOND)
+        fleet = GossipFleet(BOXES, ENGINES, BYTES_PER_SECOND)
         fleet.run(4.0, CALLS_PER_SECOND)
-        self.assertGreater(fleet.known_share(), 0.85)
+        self.assertGreater(fleet.estimated_share(), 0.85)
 
     def test_boxes_know_the_load_again_soon_after_many_were_cut_off(self):
-        fleet = TellingFleet(BOXES, ENGINES, BYTES_PER_SECOND)
+        fleet = GossipFleet(BOXES, ENGINES, BYTES_PER_SECOND)
         fleet.run(2.0, CALLS_PER_SECOND)
         fleet.cut = {f'box-{number}' for number in range(BOXES // 3)}
         fleet.dead = {engine.name for engine in fleet.engines[: ENGINES // 4]}
         fleet.run(SILENT_SECONDS + 2.0, CALLS_PER_SECOND)
         fleet.cut = fleet.dead = set()
         fleet.run(2.0, CALLS_PER_SECOND)
-        self.assertGreater(fleet.known_share(), 0.85)
+        self.assertGreater(fleet.estimated_share(), 0.85)
--- a/tests/test_engine_view.py
+++ b/tests/test_engine_view.py
@@ -77,20 +77,20 @@
         view = EngineView()
         view.set_list([engine('a')], 0.0)
         health = EngineHealth(view)
-        health.ended('a', Outcome.ANSWERED_FAILURE, 1.0)
+        health.attempt_ended('a', Outcome.ANSWERED_FAILURE, 1.0)
         (report,) = health.new_reports('me', 1.1)
         self.assertEqual(('me', 'a', 1), (report.origin, report.engine, report.count))
         self.assertEqual(0, report.incarnation_key)
         self.assertEqual([], health.new_reports('me', 1.2))
-        health.ended('a', Outcome.NOT_SENT, 1.3)
+        health.attempt_ended('a', Outcome.NOT_SENT, 1.3)
         (report,) = health.new_reports('me', 1.4)
         self.assertEqual(hash32('1'), report.incarnation_key)
 
     def test_an_engine_that_is_full_does_not_fail(self):
         health = EngineHealth(EngineView())
         for number in range(20):
-            health.ended('full', Outcome.ENGINE_FULL, number / 10)
-        health.ended('other', Outcome.ENGINE_REFUSED, 2.0)
+            health.attempt_ended('full', Outcome.ENGINE_FULL, number / 10)
+        health.attempt_ended('other', Outcome.ENGINE_REFUSED, 2.0)
         self.assertEqual({'other': 1}, health.failures.own(2.0))
 
     def test_an_outlier_is_avoided_though_it_answers_now_and_then(self):
--- a/tests/test_limits_between_boxes.py
+++ b/tests/test_limits_between_boxes.py
@@ -42,7 +42,7 @@
         digests = self.router.digests_for(names, Versions(), now)
         for peer, digest in zip(peers, digests, strict=True):
             heard = peer.reader.read(EncodedDigest(digest).data)
-            peer.router.hear(heard, now)
+            peer.router.receive_digest(heard, now)
 
     def ask(self, now: float) -> None:
         """One more call of the workspace, if it is admitted."""
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -297,13 +297,13 @@
     def may_risk(self, now: float = 0.0) -> bool:
         """Whether a suspect may run that ended the first two engines, as peers told."""
         known = after(*(report(hash64(engine.name)) for engine in self.engines[:2]))
-        return self.router.may_risk('llm', known.lately_ended(ASKED.digest, now), now)
+        return self.router.may_risk_engine('llm', known.lately_ended(ASKED.digest, now), now)
 
     def test_no_engine_is_risked_where_half_are_away(self):
-        self.assertTrue(self.router.may_risk('llm', frozenset(), 0.0))
+        self.assertTrue(self.router.may_risk_engine('llm', frozenset(), 0.0))
         for engine in self.engines[:2]:
             self.ended(engine)
-        self.assertFalse(self.router.may_risk('llm', frozenset(), 0.0))
+        self.assertFalse(self.router.may_risk_engine('llm', frozenset(), 0.0))
 
     def test_engines_that_ended_at_other_boxes_are_away_too(self):
         # Callers of a service of three found none of its servers: two had ended under a request
--- a/tests/utils/delayed_fleet.py
+++ b/tests/utils/delayed_fleet.py
@@ -1,6 +1,6 @@
 """Routers whose calls, answers and digests take their time, on a hand-set clock.
 
-What real processes have and `telling_fleet` has not: a call arrives some time after it
+What real processes have and `gossip_fleet` has not: a call arrives some time after it
 was decided, its answer's head is read some time after it was written, its end is noticed
 late, and digests are late or lost.  Each of these delays is set by itself.
 """
@@ -22,13 +22,13 @@
 from seamhold_routing import Versions
 from seamhold_settings.schema import Control
 
-from .telling_fleet import (
+from .gossip_fleet import (
     DIGEST_SECONDS,
-    LOOK_SECONDS,
-    PROMISED_MORE,
-    PROMISED_MULTIPLE,
+    GUARANTEED_EXTRA,
+    GUARANTEED_MULTIPLE,
     SERVICE,
-    TellingBox,
+    TICK_SECONDS,
+    GossipBox,
 )
 
 DEADLINE_SECONDS = 10.0
@@ -93,7 +93,7 @@
     @property
     def above(self) -> bool:
         """Whether it met an engine above the promise."""
-        return self.held > PROMISED_MULTIPLE * self.mean + PROMISED_MORE
+        return self.held > GUARANTEED_MULTIPLE * self.mean + GUARANTEED_EXTRA
 
 
 class DelayedFleet:
@@ -120,7 +120,7 @@
             for number in range(engines)
         ]
         self.boxes = {
-            box.name: TellingBox(box.name, listed, self.engines, control) for box in listed
+            box.name: GossipBox(box.name, listed, self.engines, control) for box in listed
         }
         self.delays = delays
         self.traffic = traffic
@@ -140,7 +140,7 @@
         self._calls: dict[str, Call] = {}
         for box in self.boxes.values():
             self._every(DIGEST_SECONDS, self._tell, box)
-            self._every(LOOK_SECONDS, self._look, box)
+            self._every(TICK_SECONDS, self._look, box)
             self._every(QUEUE_SECONDS, self._look_at_waits, box)
         self._at(self._chance.uniform(0, 0.1), self._clump)
 
@@ -225,7 +225,7 @@
     def _after(self, mean_delay: float, act: Callable, *words) -> None:
         self._at(self.now + mean_delay * self._chance.uniform(0.5, 1.5), act, *words)
 
-    def _every(self, seconds: float, act: Callable, box: TellingBox) -> None:
+    def _every(self, seconds: float, act: Callable, box: GossipBox) -> None:
         def again():
             act(box)
             self._at(self.now + seconds, again)
@@ -241,7 +241,7 @@
         pause = self._chance.expovariate(self.traffic.calls_per_second / self.traffic.clump)
         self._at(self.now + pause, self._clump)
 
-    def _call(self, box: TellingBox) -> None:
+    def _call(self, box: GossipBox) -> None:
         hot = self._chance.random() < self.traffic.hot_share
         chat = 'hot' if hot else self._chance.randrange(self.traffic.chats)
         call_id = f'call-{next(self._numbers)}'
@@ -250,7 +250,7 @@
         self._calls[call_id] = call
         self._decided(box, box.router.admit(call, self.now))
 
-    def _decided(self, box: TellingBox, decisions: list[Decision]) -> None:
+    def _decided(self, box: GossipBox, decisions: list[Decision]) -> None:
         for decision in decisions:
             if isinstance(decision, Placed):
                 self._after(self.delays.arrival, self._arrive, box, decision, self.now)
@@ -260,7 +260,7 @@
 
     # Engines.
 
-    def _arrive(self, box: TellingBox, placed: Placed, sent_at: float) -> None:
+    def _arrive(self, box: GossipBox, placed: Placed, sent_at: float) -> None:
         self._hold(placed.engine, 1)
         held = self._held[placed.engine]
         self.arrivals.append(
@@ -270,27 +270,27 @@
         self._at(self.now + min(ANSWER_SECONDS, lasts), self._begin, box, placed, sent_at)
         self._at(self.now + lasts, self._end, box, placed)
 
-    def _begin(self, box: TellingBox, placed: Placed, sent_at: float) -> None:
+    def _begin(self, box: GossipBox, placed: Placed, sent_at: float) -> None:
         if self._later(placed.engine, self._begin, box, placed, sent_at):
             return
         told = self._told(placed.engine)
         self._after(self.delays.head, self._hear_head, box, placed, told, sent_at)
 
-    def _hear_head(self, box: TellingBox, placed: Placed, told: int, sent_at: float) -> None:
-        box.router.began(placed.call_id, self.now)
+    def _hear_head(self, box: GossipBox, placed: Placed, told: int, sent_at: float) -> None:
+        box.router.answer_started(placed.call_id, self.now)
         if self._tells:
-            box.router.engine_told(placed.engine, told, sent_at, self.now)
+            box.router.record_engine_load(placed.engine, told, sent_at, self.now)
 
-    def _end(self, box: TellingBox, placed: Placed) -> None:
+    def _end(self, box: GossipBox, placed: Placed) -> None:
         if self._later(placed.engine, self._end, box, placed):
             return
         self._hold(placed.engine, -1)
         self._after(self.delays.end, self._notice_end, box, placed)
 
-    def _notice_end(self, box: TellingBox, placed: Placed) -> None:
+    def _notice_end(self, box: GossipBox, placed: Placed) -> None:
         self._calls.pop(placed.call_id, None)
         router = box.router
-        decisions = router.attempted(placed.call_id, Outcome.DONE, self.now)
+        decisions = router.attempt_ended(placed.call_id, Outcome.DONE, self.now)
         self._decided(box, decisions + router.close(placed.call_id, self.now))
 
     def _hold(self, engine: str, change: int) -> None:
@@ -310,14 +310,14 @@
 
     # Boxes.
 
-    def _look(self, box: TellingBox) -> None:
+    def _look(self, box: GossipBox) -> None:
         self._decided(box, box.router.tick(self.now))
 
-    def _look_at_waits(self, box: TellingBox) -> None:
+    def _look_at_waits(self, box: GossipBox) -> None:
         if box.router.next_due(self.now) <= self.now:
             self._decided(box, box.router.tick(self.now))
 
-    def _tell(self, box: TellingBox) -> None:
+    def _tell(self, box: GossipBox) -> None:
         names = [name for name in box.order.of(self.boxes) if name != box.router.box]
         names = names[: box.router.tree.fleet.control.digest_peers]
         digests = box.router.digests_for(names, Versions(), self.now)
@@ -330,7 +330,7 @@
                 self._after(self.delays.digest, self._deliver, self.boxes[name], encoded)
         box.router.digests_sent(sent)
 
-    def _deliver(self, box: TellingBox, encoded: EncodedDigest) -> None:
+    def _deliver(self, box: GossipBox, encoded: EncodedDigest) -> None:
         digest = box.reader.read(encoded.data)
         if digest is not None:
-            self._decided(box, box.router.hear(digest, self.now))
+            self._decided(box, box.router.receive_digest(digest, self.now))
