--- a/tests/test_limits_between_boxes.py
+++ b/tests/test_limits_between_boxes.py
@@ -41,7 +41,7 @@
         digests = self.router.digests_for(names, Versions(), now)
         for peer, digest in zip(peers, digests, strict=True):
             received = peer.reader.read(EncodedDigest(digest).data)
-            peer.router.hear(received, now)
+            peer.router.receive_digest(received, now)
 
     def request_call(self, now: float) -> None:
         """Start one more call of the workspace if it is admitted."""
