--- a/tests/test_followers.py
+++ b/tests/test_followers.py
@@ -33,7 +33,7 @@
     def answered(self) -> None:
         """Nobody hears of it."""
 
-    def wait_role(self) -> None:
+    def wait_for_role(self) -> None:
         """It is known."""
 
 
@@ -118,12 +118,12 @@
         pauses: list[float] = []
         self.patch(followers, 'ALONE_SECONDS', 0.0)
         self.patch(followers.time, 'sleep', pauses.append)
-        StoreWatch(StartingDecider(names), lambda: True).wait_role()
+        StoreWatch(StartingDecider(names), lambda: True).wait_for_role()
         return pauses
 
     def test_a_box_that_starts_beside_others_waits_for_their_heartbeats(self):
         (pause,) = self.waited(['me', 'other'])
-        self.assertAlmostEqual(followers.ROLE_SECONDS, pause, delta=0.2)
+        self.assertAlmostEqual(followers.ROLE_WAIT_SECONDS, pause, delta=0.2)
 
     def test_a_box_that_is_alone_watches_at_once(self):
         self.assertEqual([], self.waited(['me']))
