--- a/packages/router/seamhold/__main__.py
+++ b/packages/router/seamhold/__main__.py
@@ -7,7 +7,7 @@
 
 
 def main() -> None:
-    """Run the command line and leave with its exit status."""
+    """Run the command line and exit with its status."""
     sys.exit(run(Environment(), sys.argv[1:]))
 
 
--- a/packages/router/seamhold/budgets.py
+++ b/packages/router/seamhold/budgets.py
@@ -8,7 +8,7 @@
 
 
 class RetryBudgets:
-    """A budget for each service; `boxes` is how many share the reserve."""
+    """A retry budget for each service; `boxes` is how many boxes share the reserve."""
 
     def __init__(self, clock: Callable[[], float]):
         self._clock = clock
@@ -19,17 +19,17 @@
         self.boxes = 1
 
     def use(self, control: Control) -> None:
-        """Take over changed settings."""
+        """Apply changed settings."""
         with self._lock:
             self._control = control
 
     def first_attempt(self, service: str) -> None:
-        """A call of `service` was sent for the first time."""
+        """Record the first attempt of a call of `service`."""
         with self._lock:
             self._budget(service).first_attempt(self._clock())
 
     def take(self, service: str) -> bool:
-        """Whether one more retry is within the budget; if so it is spent."""
+        """Spend one retry and return True if the budget allows it, else return False."""
         with self._lock:
             return self._budget(service).take(self._clock())
 
--- a/packages/router/seamhold/callers.py
+++ b/packages/router/seamhold/callers.py
@@ -1,4 +1,4 @@
-"""From what a caller sent to a call that can be placed."""
+"""Converts callers' requests to calls that can be placed."""
 
 import hashlib
 import json
@@ -27,7 +27,7 @@
 CHAT_PATH = '/v1/chat/completions'
 SERVICES_PREFIX = '/services/'
 BEARER = 'bearer '
-#: Largest body of any route; a route's own limit is usually lower.
+#: Maximum body size of any route; a route's own limit is usually lower.
 BODY_MAX_BYTES = 64 * 1024 * 1024
 KEY_MAX_CHARS = 255
 FIRST_MESSAGES = 2
@@ -35,10 +35,7 @@
 
 
 class Incoming(Struct, frozen=True):
-    """A caller's request, from the entry port or relayed by a peer.
-
-    `deadline` is in seconds on this box's clock.
-    """
+    """A caller's request, from the entry port or relayed by a peer."""
 
     id: str
     workspace: str
@@ -49,7 +46,7 @@
 
 
 class Prepared(Struct, frozen=True):
-    """A request read and checked against the settings in force."""
+    """A request that was parsed and checked against the settings in force."""
 
     call: Call
     request: EngineRequest
@@ -62,24 +59,24 @@
 
 
 def hash_key(key: str) -> str:
-    """How a caller's key is written in the settings."""
+    """Return the hash of a caller's key, as the settings contain it."""
     return 'sha256:' + hashlib.sha256(key.encode()).hexdigest()
 
 
 def authenticate(tree: Tree, authorization: str) -> str:
-    """The workspace that a bearer key names, or Unauthorized."""
+    """Return the workspace of a bearer key; raises Unauthorized."""
     if not authorization.lower().startswith(BEARER):
         raise Unauthorized('send "Authorization: Bearer KEY"')
     wanted = hash_key(authorization[len(BEARER) :].strip())
     found = [name for name, space in tree.workspaces.items() if wanted in space.keys]
-    # A key that two workspaces name would let one act as the other.
+    # A key in two workspaces would let one of them act as the other.
     if len(found) != 1:
         raise Unauthorized('this key names no workspace')
     return found[0]
 
 
 def prepare(tree: Tree, incoming: Incoming, now: float) -> Prepared:
-    """Read a chat or a plain call; raises what the caller has to mend."""
+    """Parse a chat or a plain call; raises a SeamholdError that the caller has to fix."""
     if incoming.path == CHAT_PATH:
         return _chat(tree, incoming, now)
     if incoming.path.startswith(SERVICES_PREFIX):
@@ -102,7 +99,7 @@
     model = value.get('model')
     messages = value.get('messages')
     if not isinstance(model, str) or not isinstance(messages, list):
-        raise BadRequest('"model" must be a text and "messages" a list')
+        raise BadRequest('"model" must be a string and "messages" a list')
     service = service_of_model(tree, model)
     route = service and resolve(tree, incoming.workspace, service, _route_name(incoming))
     if not route:
@@ -138,28 +135,28 @@
 
 
 def cache_salt(workspace: str) -> str:
-    """What keeps one workspace's prompts from being reused by another."""
+    """Return a salt that keeps a workspace's cached prompts from use by another workspace."""
     return hashlib.sha256(f'seamhold\0{workspace}'.encode()).hexdigest()[:32]
 
 
 def _first_messages(messages: list) -> str:
-    """A name for a chat that has none: it begins alike on every turn."""
+    """Return a name for an unnamed chat: its first messages are the same in every turn."""
     text = json.dumps(messages[:FIRST_MESSAGES], sort_keys=True)
     return hashlib.sha256(text.encode()).hexdigest()
 
 
 def _tokens(value: dict, incoming: Incoming, route: ResolvedRoute) -> int:
-    """Tokens of work expected, as far as it is known at dispatch."""
+    """Return the expected work in tokens, estimated before dispatch."""
     asked = value.get('max_completion_tokens') or value.get('max_tokens')
     if asked is not None and (not isinstance(asked, int) or isinstance(asked, bool) or asked < 1):
-        raise BadRequest('"max_tokens" must be a whole number above 0')
+        raise BadRequest('"max_tokens" must be an integer above 0')
     output = asked or route.policy.expected_output_tokens
     return len(incoming.body) // BYTES_PER_TOKEN + output
 
 
 def _call(incoming: Incoming, route: ResolvedRoute, chat: str, work: Work, now: float) -> Call:
     if len(incoming.body) > route.policy.max_body_bytes:
-        raise BodyTooLarge(f'this route takes {route.policy.max_body_bytes} bytes')
+        raise BodyTooLarge(f'this route accepts at most {route.policy.max_body_bytes} bytes')
     return Call(
         incoming.id,
         incoming.workspace,
@@ -173,7 +170,7 @@
 
 
 def _timeout(incoming: Incoming, most: float) -> float:
-    """The caller's time in seconds; it can only shorten the route's."""
+    """Return the timeout in seconds: the caller's can only shorten the route's."""
     text = incoming.headers.get(names.TIMEOUT)
     if not text:
         return most
@@ -187,7 +184,7 @@
 
 
 def _hint(incoming: Incoming) -> str:
-    """The chat hint, or none: one that cannot be read is no reason to fail."""
+    """Return the chat hint, '' if there is none or it is invalid."""
     text = incoming.headers.get(names.CHAT_HINT, '')
     return text if HINT_FORM.fullmatch(text) else ''
 
@@ -197,12 +194,12 @@
 ) -> Prepared:
     key = incoming.headers.get(names.IDEMPOTENCY_KEY, '')
     if len(key) > KEY_MAX_CHARS:
-        raise BadRequest(f'{names.IDEMPOTENCY_KEY} has at most {KEY_MAX_CHARS} characters')
+        raise BadRequest(f'{names.IDEMPOTENCY_KEY} must have at most {KEY_MAX_CHARS} characters')
     marked = incoming.headers.get(names.REPEATABLE, '').lower()
     if marked not in ('', 'yes', 'no'):
-        raise BadRequest(f'{names.REPEATABLE} is "yes" or "no"')
+        raise BadRequest(f'{names.REPEATABLE} must be "yes" or "no"')
     ticket = incoming.headers.get(names.TICKET, '')
-    # A ticket is asked for when a call must not run twice.
+    # A caller sends a ticket if the call must not run twice.
     repeatable = route.policy.repeatable and marked != 'no' and not ticket
     body_hash = hashlib.sha256(
         f'{incoming.method}\0{incoming.path}\0'.encode() + incoming.body
--- a/packages/router/seamhold/case_answers.py
+++ b/packages/router/seamhold/case_answers.py
@@ -1,4 +1,4 @@
-"""What a box answers its peers about requests that end engines."""
+"""Handlers of the peer calls about requests that end engines."""
 
 import asyncio
 
@@ -11,29 +11,29 @@
 
 
 class CaseAnswers:
-    """The part of a peer port's handler that is the same in all dialects."""
+    """The part of the peer port's handler that all dialects share."""
 
     def __init__(self, decider: Decider):
         self._decider = decider
 
     async def cases(self) -> CasesPage:
-        """What this box knows of them."""
+        """Return the cases that this box shares, and whether it has loaded all."""
         complete = self._decider.cases.known.is_set()
         cases = await asyncio.wrap_future(self._decider.ask(WantCases()))
         return CasesPage(cases, complete)
 
     async def hear_cases(self, cases: tuple[Case, ...]) -> None:
-        """A peer tells what it just learned."""
+        """Merge cases that a peer sends."""
         await answer_of(self._decider.ask(HearCases(cases)))
 
     async def engine_ended(self, report: EndReport) -> EndsKnown:
-        """An engine ended at a peer; what this box knows of the request."""
+        """Record an engine's end at a peer; return what this box knows of the request."""
         return await asyncio.wrap_future(self._decider.ask(HearEnd(report)))
 
     async def ask_trial(self, ask: TrialAsk) -> Permission:
-        """Whether a suspect may run now at a peer."""
+        """Return whether a suspect request may run now at a peer."""
         return await asyncio.wrap_future(self._decider.ask(AskTrial(ask)))
 
     async def end_trial(self, over: TrialOver) -> None:
-        """A suspect's run at a peer is over."""
+        """Record the end of a suspect request's run at a peer."""
         self._decider.send(EndTrial(over))
--- a/packages/router/seamhold/case_keeper.py
+++ b/packages/router/seamhold/case_keeper.py
@@ -1,4 +1,4 @@
-"""What the decider does with what is told and asked of requests that end engines."""
+"""The decider's handlers of messages about requests that end engines."""
 
 import threading
 from collections.abc import Callable
@@ -21,7 +21,7 @@
     WantStanding,
 )
 
-#: What a box by itself may say of a request that stands so.
+#: The verdict of a box on its own, by the standing of a request.
 VERDICTS = {
     Standing.CLEAR: Verdict.RUN,
     Standing.SUSPECT: Verdict.ASK,
@@ -32,7 +32,7 @@
 class CaseKeeper:
     """Handlers of the decider's messages about requests that end engines.
 
-    `tell` is called when peers should hear of what changed.
+    `tell` is called when peers should receive a change.
     """
 
     def __init__(self, router: Router, clock: Callable[[], float], log, tell: Callable[[], None]):
@@ -41,11 +41,11 @@
         self._clock = clock
         self._log = log
         self._tell = tell
-        #: Told of the requests that this box learned more of by an end or a run.
+        #: Called with the digest of a request whose case an end or a run changed here.
         self.on_case: Callable[[str], None] | None = None
-        #: Told at once what peers should hear of such a request.
+        #: Called with the case of such a request, to be sent to peers immediately.
         self.on_push: Callable[[Case], None] | None = None
-        #: Set when what is known was asked for at the start.
+        #: Set when the cases were read at the start, or the read was given up.
         self.known = threading.Event()
         self.known.set()
         self.handlers = {
@@ -62,16 +62,16 @@
 
     @property
     def scopes(self) -> frozenset[int]:
-        """Scopes of the requests that may not simply run; read by any thread."""
+        """Scopes of the requests that need permission to run; any thread may read it."""
         return self._quarantine.scopes
 
     @property
     def fingerprint(self) -> int:
-        """Tells apart what this box knows; read by any thread."""
+        """Fingerprint of the shared cases of this box; any thread may read it."""
         return self._quarantine.fingerprint
 
     def reports(self, now: float) -> tuple[CaseReport, ...]:
-        """What operators see."""
+        """Return the entries of the status page."""
         quarantine = self._quarantine
         return tuple(
             CaseReport(
@@ -105,7 +105,7 @@
             self._tell_case(request)
 
     def _tell_case(self, request: str) -> None:
-        """Tell peers, the store and the logs how a request stands."""
+        """Log the standing of a request, and send its case to peers and the store."""
         now = self._clock()
         case = self._quarantine.shared_case(request, now)
         if case is None:
--- a/packages/router/seamhold/case_store.py
+++ b/packages/router/seamhold/case_store.py
@@ -1,10 +1,10 @@
-"""Keeps what is known of requests that end engines in the platform's store.
+"""Keeps the cases of requests that end engines in the platform's store.
 
-Peers tell each other within some tenths of a second; the store is for the moment at which
-all boxes are gone, and for boxes that reach it but not each other.  A box reads it at its
-start and writes what itself learned of suspects; while boxes are missing, a box whose engine
-ended under a request joins that with the store, and `CasesFollower` follows the others.  One
-box removes what is long over.
+Peers exchange cases within some tenths of a second; the store is for a restart after all
+boxes are gone, and for boxes that reach the store but not each other.  A box reads the store
+at its start and writes its own cases of suspects.  While boxes are missing, a box whose
+engine ended under a request synchronizes that case with the store, and `CasesFollower`
+watches the cases of the others.  One box removes expired cases.
 """
 
 import queue
@@ -29,27 +29,29 @@
 from .ports import RemovableStore
 from .tasks import Stop
 
-#: Time until a call that failed is made again, in seconds.
+#: Delay before a failed call is retried, in seconds.
 RETRY_SECONDS = 2.0
-#: The same for the first read, for which a box that starts waits.  In seconds.
+#: The same for the first read, which a starting box waits for, in seconds.
 FIRST_RETRY_SECONDS = 0.2
-#: How long a box that starts waits for the first read, in seconds.
+#: Maximum wait of a starting box for the first read, in seconds.
 FIRST_READ_SECONDS = 1.5
-#: A call whose engine ended waits so long for the store, as it does for a box.  In seconds.
+#: Maximum wait for the store of a call whose engine ended, in seconds; the same as for a box.
 JOIN_SECONDS = 0.15
-#: First ends that a box writes a second at most: an engine that ends by itself leaves one of
-#: each call that it held, of which a request that comes again and again is among the first.
+#: Maximum rate at which a box writes first ends, per second: an engine that ends by itself
+#: leaves one for each call that it held.  A request that is sent repeatedly is among the
+#: first of them.
 FIRST_ENDS_PER_SECOND = 20.0
-#: How often what is over is removed, in seconds.
+#: Interval between removals of expired cases, in seconds.
 CLEAN_SECONDS = 3600.0
-#: Ranks the box that removes it.
+#: The key by which the box that removes them is ranked.
 CLEANER_KEY = 'cases-cleaner'
 
 
 class StoredEnd(Struct, frozen=True):
     """An engine's end; `unix_time` is in seconds.
 
-    The engine's hash has 64 bits, more than every reader of JSON holds: it goes as text.
+    The engine's hash is stored as hexadecimal text: not every JSON reader supports 64-bit
+    numbers.
     """
 
     engine: str
@@ -58,7 +60,7 @@
 
 
 class StoredCase(Struct, frozen=True):
-    """A case as it stands in the store; its object is named by the request's digest."""
+    """A case as it is stored; the name of its object is the request's digest."""
 
     scope: str
     workspace: str
@@ -68,7 +70,7 @@
 
 
 def to_object(case: Case, unix_time: float, version: str = '') -> PlatformObject:
-    """A case as an object of the store, at `unix_time` in seconds."""
+    """Return a case as an object of the store; `unix_time` is the current time in seconds."""
     ends = tuple(
         StoredEnd(f'{end.engine:x}', end.on_trial, unix_time - end.age) for end in case.ends
     )
@@ -78,7 +80,7 @@
 
 
 def from_object(item: PlatformObject, unix_time: float) -> Case:
-    """The case that an object tells; raises ValueError if it cannot be read."""
+    """Return the case in an object; raises ValueError or ValidationError if it is invalid."""
     stored = msgspec.convert(item.spec, StoredCase)
     ends = tuple(
         EngineEnd(int(end.engine, 16), end.on_trial, max(0.0, unix_time - end.unix_time))
@@ -90,16 +92,16 @@
 
 
 class _Wanted(Struct, frozen=True):
-    """A request of which the store and this box should know the same; `done` tells when."""
+    """A request whose case is to be synchronized with the store; `done` is set afterwards."""
 
     request: str
     done: threading.Event | None = None
 
 
 class CaseStore:
-    """The task that reads the store and writes to it.
+    """The task that reads cases from the store and writes them to it.
 
-    `roster` tells which boxes this one hears.
+    `roster` returns the decider's report, with the boxes that are responsive or missing.
     """
 
     def __init__(
@@ -128,22 +130,22 @@
         decider.cases.on_case = self.join_soon
 
     def start(self) -> None:
-        """Begin to read and write."""
+        """Start to read and write."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Write no more."""
+        """Stop reading and writing."""
         self._stopped.set()
         self._changed.put(Stop())
 
     def misses_boxes(self) -> bool:
-        """Whether a listed box is silent: it may be there and know what this one does not."""
+        """Whether a listed box is silent: it may be up and have cases that this box lacks."""
         return bool(self._roster().missing_boxes)
 
     def join(self, request: str) -> None:
-        """Join what this box and the store know of a request, and wait for it a little.
+        """Synchronize the case of a request with the store; wait at most JOIN_SECONDS.
 
-        A store that is slow must not hold calls whose engine ended.
+        A slow store must not delay calls whose engine ended.
         """
         if self._decider.store_lost:
             return
@@ -152,7 +154,7 @@
         wanted.done.wait(JOIN_SECONDS)
 
     def join_soon(self, request: str) -> None:
-        """The same without waiting."""
+        """Synchronize the case of a request with the store, without waiting."""
         self._changed.put(_Wanted(request))
 
     def _run(self) -> None:
@@ -170,7 +172,7 @@
                 wanted.done.set()
 
     def _next(self) -> _Wanted | Stop | None:
-        """What is to be done next, None when it is time to clean."""
+        """Return the next request or the stop message, None when it is time to clean."""
         try:
             return self._changed.get(timeout=max(0.0, self._cleans_at - boot_seconds()))
         except queue.Empty:
@@ -178,9 +180,9 @@
             return None
 
     def clean(self) -> None:
-        """Remove what is over, where this box ranks first for that.
+        """Remove expired cases, if this box ranks first for it.
 
-        Each box that starts reads all that is kept, and nothing else ends that.
+        Each box reads all stored cases at its start, and nothing else removes them.
         """
         if owners(CLEANER_KEY, self._roster().heard_boxes) != [self._box]:
             return
@@ -192,18 +194,19 @@
         try:
             return is_over(from_object(item, self._unix_time()))
         except (ValueError, msgspec.ValidationError):
-            # Another's writing; said when it was read.
+            # Not written by a box; it was logged when it was read.
             return False
 
     def _remove(self, item: PlatformObject) -> None:
-        """Remove an object, unless another end was written since it was read."""
+        """Remove an object, unless another end has been written since it was read."""
         self._store.delete(ObjectKind.QUARANTINE, item.name, item.version)
 
     def _read_first(self) -> None:
-        """Read all that is kept, again and again until that succeeds.
+        """Read all stored cases, and retry until that succeeds.
 
-        A failed call tells nothing: a box that served on it let copies run as the store came
-        back.  One that stays away keeps no box from serving.
+        A failed read does not mean that there are no cases: a box that served calls after
+        one let copies run when the store came back.  If the store stays unavailable, the box
+        serves calls after FIRST_READ_SECONDS.
         """
         known = self._decider.cases.known
         serves_at = boot_seconds() + FIRST_READ_SECONDS
@@ -225,7 +228,7 @@
         self.take(self._store.list(ObjectKind.QUARANTINE).objects)
 
     def take(self, objects: list[PlatformObject]) -> None:
-        """Take over what objects of the store tell; called by any thread."""
+        """Merge the cases in objects of the store; any thread may call it."""
         now = self._unix_time()
         cases = []
         for item in objects:
@@ -254,11 +257,11 @@
             return
         except PlatformConflict:
             held = self._store.get(ObjectKind.QUARANTINE, request)
-        # The next write must not lose what another box wrote.
+        # Merge first: the next write must not lose what another box wrote.
         self.take([held])
         case = self._case(request)
         if case is None:
-            # Dropped meanwhile for others'; the store has what another box wrote.
+            # Dropped meanwhile to make room; the store keeps what another box wrote.
             return
         item = to_object(case, self._unix_time(), held.version)
         if not _tells_as_much(held, case):
@@ -272,7 +275,7 @@
 
 
 def _tells_as_much(held: PlatformObject, case: Case) -> bool:
-    """Whether the store already has all that `case` tells."""
+    """Whether the stored object already contains all ends and clears of `case`."""
     try:
         told = from_object(held, 0.0)
     except (ValueError, msgspec.ValidationError):
--- a/packages/router/seamhold/cases_follower.py
+++ b/packages/router/seamhold/cases_follower.py
@@ -1,4 +1,4 @@
-"""Follows what the store keeps of requests that end engines, while boxes are missing."""
+"""Follows the stored cases of requests that end engines, while boxes are missing."""
 
 import random
 
@@ -15,14 +15,14 @@
 
 
 class CasesFollower(Follower):
-    """One box of those that hear each other follows for these, which hear of it from it.
+    """Follows the cases for all boxes that reach this one, which then receive them from it.
 
-    Copies may come every 0.05 s: a box that is cut off has to learn within that of what
-    others met, as far as the store tells it.
+    Copies of a request may arrive every 0.05 s: a box that is cut off from its peers has to
+    learn of their cases within that time, as far as the store has them.
     """
 
     kind = ObjectKind.QUARANTINE
-    #: Whether boxes are still missing is asked between two watches.
+    #: Between two watches the follower checks whether boxes are still missing.
     watch_seconds = 4.0
 
     def __init__(
@@ -40,16 +40,16 @@
         self._peering = peering
 
     def wanted(self) -> bool:
-        """Whether boxes are missing, and this is the first of those that are not."""
+        """Whether boxes are missing, and this one ranks first among the others."""
         roster = self._peering.roster
         if not roster.missing_boxes:
             return False
         return owners(FOLLOWER_KEY, roster.heard_boxes) == [self._box]
 
     def wait_turn(self) -> None:
-        """Wait until boxes are missing, or, where others follow, until the next look at who is.
+        """Wait until boxes are missing; if another box follows, until the next roster check.
 
-        Copies that come before the first list is read run at boxes that know nothing.
+        Copies that arrive before the first list is read run at boxes without these cases.
         """
         if self._peering.boxes_missing.is_set():
             self._stopped.wait(ROSTER_SECONDS)
@@ -57,10 +57,10 @@
             self._peering.boxes_missing.wait(ROSTER_SECONDS)
 
     def listed(self, objects: list[PlatformObject]) -> None:
-        """Take over all that is kept."""
+        """Merge all stored cases."""
         self._cases.take(objects)
 
     def changed(self, kind: WatchKind, item: PlatformObject) -> None:
-        """Take over what was written."""
+        """Merge a case that was written."""
         if kind is not WatchKind.DELETED:
             self._cases.take([item])
--- a/packages/router/seamhold/claims.py
+++ b/packages/router/seamhold/claims.py
@@ -1,4 +1,4 @@
-"""The task that writes claims to the platform, many in one write."""
+"""The task that writes claims to the platform in batches."""
 
 from collections import defaultdict, deque
 from collections.abc import Callable
@@ -20,22 +20,22 @@
 from .metrics import Metrics
 from .tasks import Ask, Task
 
-#: Pause after a try that failed.
+#: Pause after a write that failed, in seconds.
 RETRY_SECONDS = 0.05
-#: Writes a second that all buckets together may cost the platform: half of
-#: what it takes.
+#: Maximum rate of writes of all buckets together, per second: half of the platform's
+#: capacity.
 WRITES_PER_SECOND = 50
 
 
 class WantClaim(Ask):
-    """A key that a call wants to own; answered by a ClaimState."""
+    """Requests the ownership of a key for a call; the reply is a ClaimState."""
 
     ask: ClaimAsk
     expires: float = 0.0
 
 
 class ReleaseClaim(Struct):
-    """A claim whose call is certain not to have run."""
+    """Releases a claim whose call is certain not to have run."""
 
     bucket: int
     key: str
@@ -43,7 +43,7 @@
 
 
 class _Held(Struct):
-    """A bucket as this box last saw it in the platform."""
+    """The cached copy of a bucket, as this box last read or wrote it."""
 
     bucket: ClaimBucket
     version: str = ''
@@ -52,10 +52,10 @@
 class ClaimWriter(Task):
     """Owns the buckets that this box writes.
 
-    A claim for a bucket that was not written lately is written at once.
-    Under load the others wait and share the next write, so that all buckets
-    together stay within `WRITES_PER_SECOND` however many calls there are.
-    The copy of a bucket saves a read; a conflict shows that it was old.
+    A claim is written immediately if its bucket was not written recently.  Under load the
+    other claims wait and share the bucket's next write, which keeps all buckets together
+    within `WRITES_PER_SECOND` at any rate of calls.  The cached copy of a bucket saves a
+    read; a write conflict shows that the copy is stale.
     """
 
     name = 'claims'
@@ -79,7 +79,7 @@
         self.handlers = {WantClaim: self._want, ReleaseClaim: self._release}
 
     def patience(self) -> float | None:
-        """Seconds until the next bucket may be written."""
+        """Return the seconds until the next bucket may be written, None if none is due."""
         due = self._next_due()
         if due is None:
             return None
@@ -95,7 +95,7 @@
         self._write(due)
 
     def _next_due(self) -> int | None:
-        """The bucket with something to write that may be written first."""
+        """Return the pending bucket with the earliest allowed write, None if none is pending."""
         wanted = self._waiting.keys() | self._releases.keys()
         return min(wanted, key=lambda number: self._next_write.get(number, 0.0), default=None)
 
@@ -121,10 +121,10 @@
             message.reply.set_result(state)
 
     def _put_back(self, number: int, wanted: list[WantClaim], error: Exception) -> None:
-        """Try again for those with time left; the others were not claimed.
+        """Queue claims with time left again, and fail the others with ClaimsUnavailable.
 
-        A write that failed may still have landed.  Its claims carry their
-        owners' tokens, so the next look recognises them.
+        A write that failed may still have been stored.  Its claims carry their owners'
+        tokens, by which the next read recognises them.
         """
         self._held.pop(number, None)
         now = self._environment.monotonic()
@@ -133,11 +133,14 @@
                 self._waiting[number].append(message)
             else:
                 self._metrics.count('claims.unavailable')
-                detail = f'the platform did not record the key: {error}'
+                detail = f'the platform did not store the key: {error}'
                 message.reply.set_exception(ClaimsUnavailable(detail, 1.0))
 
     def _settle(self, number: int, wanted: list[WantClaim], releases) -> list[ClaimState]:
-        """Write until the bucket holds an answer for each claim."""
+        """Add claims to the bucket, remove releases, and write it until no write conflicts.
+
+        Returns the state of each claim.
+        """
         while True:
             held = self._held.get(number) or self._read(number)
             bucket = ClaimBucket(held.bucket.claims)
--- a/packages/router/seamhold/clock.py
+++ b/packages/router/seamhold/clock.py
@@ -1,13 +1,14 @@
-"""The clock that a box goes by."""
+"""The clock that a box uses."""
 
 import time
 
 
 def boot_seconds() -> float:
-    """Seconds since the machine started, those included for which it was suspended.
+    """Return the seconds since the machine started, including time in suspension.
 
-    The steady clock stands while a machine is suspended: by it deadlines, ages of what
-    peers and engines told, and rests would all be younger than they are when it wakes.
-    Timed waits go by the steady clock nevertheless, so who waits looks at this one after.
+    The monotonic clock stops while the machine is suspended: after it resumes, the ages of
+    reports from peers and engines would be too low, and deadlines and rests would end too
+    late.
+    Timed waits use the monotonic clock nevertheless: check this clock after a wait.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/router/seamhold/context.py
+++ b/packages/router/seamhold/context.py
@@ -1,6 +1,6 @@
-"""What the program stands in: streams, clocks and chance.
+"""The environment of the program: streams, variables, clocks and random ids.
 
-One object is passed in, so that tests swap it.
+It is passed in as one object, which tests can replace.
 """
 
 import os
@@ -18,9 +18,10 @@
 
 @dataclass
 class Environment:
-    """Streams, clocks and chance, as the program sees them.
+    """Streams, variables, clocks and random ids of the program.
 
-    `monotonic` and `unix_time` are in seconds; the first counts suspensions of the machine.
+    `monotonic` and `unix_time` are in seconds; `monotonic` includes the time for which the
+    machine was suspended.
     """
 
     stdin: TextIO = field(default_factory=lambda: sys.stdin)
@@ -32,13 +33,13 @@
     sleep: Callable[[float], None] = time.sleep
 
     def fresh_id(self) -> str:
-        """An id that no other process makes."""
+        """Return a random id that is unique among all processes."""
         return secrets.token_hex(ID_BYTES)
 
     def say(self, text: str) -> None:
-        """One line for the person at the terminal."""
+        """Print a line to standard output."""
         print(text, file=self.stdout, flush=True)
 
     def complain(self, text: str) -> None:
-        """One line about what went wrong."""
+        """Print a line to standard error."""
         print(text, file=self.stderr, flush=True)
--- a/packages/router/seamhold/core.py
+++ b/packages/router/seamhold/core.py
@@ -1,4 +1,4 @@
-"""Runs a command line and turns how it ended into an exit status."""
+"""Runs a command line and returns its exit status."""
 
 import fire
 from fire.core import FireExit
@@ -12,7 +12,7 @@
 
 
 def run(environment: Environment, arguments: list[str]) -> ExitStatus:
-    """The exit status of a command; never raises for a user's mistake."""
+    """Run a command line; return its exit status, also after a usage error."""
     try:
         return exit_status(environment, lambda: _fire(environment, arguments))
     except FireExit as end:
--- a/packages/router/seamhold/decider.py
+++ b/packages/router/seamhold/decider.py
@@ -1,7 +1,7 @@
-"""The task that owns the box's decisions.
+"""The task that owns the routing state of a box.
 
-Request threads ask it for a place and get the answer, at once unless the call
-has to wait; nothing else touches the routing state.
+Request threads send it calls and get a placement, immediately unless the call is queued.
+No other code changes the routing state.
 """
 
 import threading
@@ -48,10 +48,10 @@
 from .listed import ListInUse
 from .tasks import SerialTask
 
-#: How often what others say or do not say is looked at, in seconds: the shortest
-#: silence that counts is a second.
+#: Interval between checks of the routing state, in seconds.  The shortest silence that
+#: has an effect is one second.
 LOOK_SECONDS = 0.5
-#: The least time between two looks, in seconds.
+#: Minimum time between two checks, in seconds.
 LOOK_MIN_SECONDS = 0.005
 
 
@@ -68,24 +68,24 @@
         self._clock = clock
         self._replies: dict[str, Future] = {}
         self._next_tick = 0.0
-        #: The platform's lists in use.
+        #: The lists from the platform that are in use.
         self.engines: ListInUse[Engine] = ListInUse()
         self.boxes: ListInUse[Box] = ListInUse()
         self.evacuations: ListInUse[Evacuation] = ListInUse()
         if not follows_evacuations:
             self.evacuations.known.set()
         self._events_taken = 0
-        #: Whether this box is one that watches the platform's store.
+        #: Whether this box watches the platform's store.
         self.follows_store = True
         self._store_lost = False
-        #: Set while this box follows the store or has to win it back.
+        #: Set while this box watches the store or has lost it and must reconnect.
         self.store_wanted = threading.Event()
         self.store_wanted.set()
-        #: Told when there is something that peers should hear at once.
+        #: Called when there is an update that peers should receive immediately.
         self.on_news: Callable[[], None] | None = None
-        #: Told of each new list of boxes, wherever it comes from.
+        #: Called with each new list of boxes, whether from the store or from a peer.
         self.on_boxes: Callable[[list[Box]], None] | None = None
-        #: Told with each look how many engines of each service are in use.
+        #: Called with each check: how many engines of each service are in use.
         self.on_engine_uses: Callable[[list[ServiceUse]], None] | None = None
         self._next_uses = 0.0
         self.handlers = {
@@ -116,12 +116,12 @@
         self.handlers |= self.cases.handlers
 
     def patience(self) -> float:
-        """Seconds until time alone may change something."""
+        """Return the seconds until the passing of time may change the routing state."""
         now = self._clock()
         return max(0.0, min(self._next_tick, self._router.next_due(now)) - now)
 
     def idle(self) -> None:
-        """Let time pass in the routing state."""
+        """Advance the routing state to the current time."""
         now = self._clock()
         self._next_tick = now + LOOK_SECONDS
         self._note_role(self._router.follows_store(now))
@@ -134,7 +134,7 @@
 
     @property
     def store_lost(self) -> bool:
-        """Whether the platform does not serve this box, as the task that watches found."""
+        """Whether this box has lost the platform's store; set by the task that watches it."""
         return self._store_lost
 
     @store_lost.setter
@@ -153,7 +153,10 @@
             self.on_news()
 
     def _tell_cases(self) -> None:
-        """More is known of requests that end engines: it may be engines' word, too."""
+        """Notify peers of changed cases, and log events and changed beliefs.
+
+        An engine's end may also have changed what the box assumes about the engine.
+        """
         self._note_events()
         self._tell_news()
 
@@ -197,7 +200,7 @@
             self._tell_news()
 
     def _admit(self, message: Admit) -> Admit:
-        # Answered by _deliver, now or when the call has waited.
+        # _deliver sets the reply, now or when the call leaves the queue.
         self._replies[message.call.id] = message.reply
         self._deliver(self._router.admit(message.call, self._clock()))
         return message
@@ -266,7 +269,7 @@
 
     def _learn_holdings(self, message: LearnHoldings) -> None:
         self._router.holders.learn(message.engine, message.chats, self._clock())
-        # Boxes that started together wait for it.
+        # Boxes that started at the same time wait for these holdings.
         self._tell_news()
 
     def _lists(self, message: WantLists) -> FleetLists:
--- a/packages/router/seamhold/decisions.py
+++ b/packages/router/seamhold/decisions.py
@@ -1,4 +1,4 @@
-"""What the decider task is told and asked, and what it answers."""
+"""Messages to the decider task, and its replies."""
 
 from msgspec import Struct
 
@@ -13,13 +13,13 @@
 
 
 class Admit(Ask):
-    """A new call asks for a place; answered by Placed or Refused."""
+    """Requests a placement for a new call; the reply is Placed or Refused."""
 
     call: Call
 
 
 class Again(Ask):
-    """A call whose attempt failed asks for another engine."""
+    """Requests another engine for a call whose attempt failed; the reply is as for Admit."""
 
     call_id: str
     failed_engine: str
@@ -27,15 +27,15 @@
 
 
 class Began(Struct):
-    """The engine of a call has begun to answer."""
+    """Reports that the engine of a call has started to answer."""
 
     call_id: str
 
 
 class EngineTold(Struct):
-    """An engine told with an answer how many calls run and wait there.
+    """Reports how many calls run and wait at an engine, as its answer says.
 
-    `sent_at` is when the call that it answered was sent, on the box's clock.
+    `sent_at` is when the answered call was sent, in seconds on the box's clock.
     """
 
     engine: str
@@ -44,38 +44,38 @@
 
 
 class StoreAnswered(Struct):
-    """The platform answered this box."""
+    """Reports that the platform answered this box."""
 
 
 class Attempted(Struct):
-    """An attempt ended."""
+    """Reports the outcome of an attempt."""
 
     call_id: str
     outcome: Outcome
 
 
 class Closed(Struct):
-    """A call is over."""
+    """Reports that a call has ended."""
 
     call_id: str
 
 
 class Abandon(Struct):
-    """The caller of a call that may be waiting has left."""
+    """Reports that the caller of a call, which may be queued, has disconnected."""
 
     call_id: str
 
 
 class EngineLeaving(Struct):
-    """An engine told one of this box's calls in so many words that it is leaving."""
+    """Reports that an engine refused a call of this box because it is leaving."""
 
     engine: str
 
 
 class EngineEnded(Ask):
-    """An engine ended under one of this box's calls; answered by EndCounted.
+    """Reports that an engine ended under one of this box's calls; the reply is EndCounted.
 
-    An `excused` request ended well just before: nothing is held against it.
+    The end of an `excused` request, which succeeded shortly before, is not counted.
     """
 
     engine: Engine
@@ -84,9 +84,9 @@
 
 
 class EndCounted(Struct, frozen=True):
-    """How many engines ended under a request as far as this box knows.
+    """The number of engines that ended under a request, as far as this box knows.
 
-    `report` is what the box that joins them is told, None for nothing.
+    `report` is sent to the boxes that own the request; None if there is nothing to send.
     """
 
     ends: int = 0
@@ -94,62 +94,62 @@
 
 
 class HearEnd(Ask):
-    """A peer told that an engine ended; answered by EndsKnown."""
+    """Passes on a peer's report that an engine ended; the reply is EndsKnown."""
 
     report: EndReport
 
 
 class AskTrial(Ask):
-    """Whether a request may run now; answered by Permission."""
+    """Asks this box, as an owner of the request, for a trial; the reply is Permission."""
 
     ask: TrialAsk
 
 
 class EndTrial(Struct):
-    """A run of a suspect is over."""
+    """Reports that the trial of a suspect request has ended."""
 
     over: TrialOver
 
 
 class WantStanding(Ask):
-    """Asks what this box by itself says of a request to a service, as Permission."""
+    """Asks for this box's own verdict on a request to a service; the reply is Permission."""
 
     request: str
     service: str
 
 
 class WantCase(Ask):
-    """Asks for all that this box knows of one request, None for nothing."""
+    """Asks for this box's case of one request; the reply is a Case, or None."""
 
     request: str
 
 
 class WantCases(Ask):
-    """Asks for all cases that boxes share."""
+    """Asks for all cases that boxes share; the reply is a tuple of Case."""
 
 
 class HearCases(Ask):
-    """A peer or the store told of requests under which engines ended."""
+    """Passes on cases received from a peer or from the store."""
 
     cases: tuple[Case, ...]
 
 
 class LiftCase(Ask):
-    """An operator clears a request; answered by whether it was known."""
+    """Clears a request for an operator; the reply is whether a case existed."""
 
     request: str
 
 
 class UseSettings(Struct):
-    """A tree came into force."""
+    """Puts a settings tree into force."""
 
     tree: Tree
 
 
 class SetEngines(Struct):
-    """The platform's list of engines, as it stood at `version`.
+    """Sets the list of engines from the platform, as of `version`.
 
-    One that is not newer than the list in use is passed over; 0 is always taken.
+    A list that is not newer than the one in use is ignored; version 0 always applies.
     """
 
     engines: list[Engine]
@@ -157,9 +157,9 @@
 
 
 class SetBoxes(Struct):
-    """The platform's list of boxes, as it stood at `version`.
+    """Sets the list of boxes from the platform, as of `version`.
 
-    One that is not newer than the list in use is passed over; 0 is always taken.
+    A list that is not newer than the one in use is ignored; version 0 always applies.
     """
 
     boxes: list[Box]
@@ -167,9 +167,9 @@
 
 
 class SetEvacuations(Struct):
-    """The platform's list of evacuated failure domains, as it stood at `version`.
+    """Sets the list of evacuated failure domains from the platform, as of `version`.
 
-    One that is not newer than the list in use is passed over; 0 is always taken.
+    A list that is not newer than the one in use is ignored; version 0 always applies.
     """
 
     evacuations: list[Evacuation]
@@ -177,36 +177,36 @@
 
 
 class WantLists(Ask):
-    """Asks for the platform's lists as last seen, as FleetLists."""
+    """Asks for the lists in use; the reply is FleetLists, with holdings if `holdings` is set."""
 
     holdings: bool = False
 
 
 class HearHoldings(Struct):
-    """A peer told which engines have read which chats."""
+    """Passes on holdings received from a peer: which engines have read which chats."""
 
     held: tuple[Holding, ...]
 
 
 class LearnHoldings(Struct):
-    """An engine told which chats it has read."""
+    """Records which chats an engine has read, as the engine itself reported."""
 
     engine: str
     chats: list[str]
 
 
 class WantLearned(Ask):
-    """Ask for all holdings that engines told this box."""
+    """Asks for all holdings that engines reported to this box."""
 
 
 class Hear(Struct):
-    """A peer told its state."""
+    """Passes on a digest received from a peer."""
 
     digest: Digest
 
 
 class WantDigests(Ask):
-    """The next digest for each of some peers, with the settings in force here."""
+    """Asks for the next digest for each of `peers`, with the settings in force here."""
 
     peers: tuple[str, ...]
     settings_total: int
@@ -214,17 +214,17 @@
 
 
 class DigestsSent(Struct):
-    """Digests went out."""
+    """Reports which digests were sent."""
 
     digests: tuple[Digest, ...]
 
 
 class Leaving(Struct):
-    """This box is stopping."""
+    """Reports that this box is stopping."""
 
 
 class BoxReport(Struct, frozen=True):
-    """A peer as this box sees it."""
+    """The state of a peer as this box assumes it."""
 
     name: str
     phase: Phase
@@ -233,7 +233,7 @@
 
 
 class EngineReport(Struct, frozen=True):
-    """An engine as this box sees it."""
+    """The state of an engine as this box assumes it."""
 
     name: str
     service: str
@@ -243,10 +243,10 @@
 
 
 class KnowledgeReport(Struct, frozen=True):
-    """How old what this box knows of the fleet is, in seconds.
+    """The age of this box's fleet state, in seconds.
 
-    `store` is how long ago the platform last answered any box, `oldest_reading` how
-    old the load is that the quietest engine told; None if there is none.
+    `store` is the time since the platform last answered any box, `oldest_reading` the
+    age of the oldest load reading of an engine; None if there is none.
     """
 
     store: float | None
@@ -256,7 +256,7 @@
 
 
 class CaseReport(Struct, frozen=True):
-    """A request under which engines ended, as operators see it; `rest` is in seconds."""
+    """The status entry of a request under which engines ended; `rest` is in seconds."""
 
     request: str
     workspace: str
@@ -266,7 +266,7 @@
 
 
 class DeciderReport(Struct, frozen=True):
-    """What the decider shows on the status page and to other tasks."""
+    """The decider's state for the status page and for other tasks."""
 
     in_flight: int
     live_boxes: tuple[str, ...]
@@ -276,12 +276,12 @@
     counts: dict[str, int]
     knowledge: KnowledgeReport = KnowledgeReport(None, 0, None, 0)
     quarantine: tuple[CaseReport, ...] = ()
-    #: Neighbours that are listed and were silent for longer than it takes to tell all.
+    #: Listed neighbours that were silent for longer than it takes to send to all peers.
     missing_boxes: tuple[str, ...] = ()
 
     @property
     def heard_boxes(self) -> list[str]:
-        """The live boxes that are not missing, this one among them."""
+        """The live boxes that are not missing, including this one."""
         return [name for name in self.live_boxes if name not in self.missing_boxes]
 
 
--- a/packages/router/seamhold/desk.py
+++ b/packages/router/seamhold/desk.py
@@ -1,7 +1,7 @@
-"""Takes a caller's request from any side and gives its answer.
+"""Handles callers' requests from the entry port and from peers.
 
-The entry port brings requests of this box's callers; the peer port brings
-those whose ticket this box holds.  Both end here.
+The entry port receives the requests of this box's callers; the peer port receives requests
+that a peer relays because this box holds their ticket.
 """
 
 from collections.abc import Iterator
@@ -35,13 +35,14 @@
 from .runner import Runner
 from .tickets import MintTickets, TicketDesk
 
-#: The longest wait for a claim to be written.
+#: Maximum wait for a claim to be written, in seconds.
 CLAIM_SECONDS = 2.0
+#: Maximum wait for a reply of the ticket task, in seconds.
 TASK_SECONDS = 5.0
 
 
 class CallDesk:
-    """Checks, guards and runs requests."""
+    """Validates requests, guards them against a second run, and runs or relays them."""
 
     def __init__(
         self,
@@ -67,20 +68,20 @@
 
     @property
     def tree(self):
-        """The settings in force, or NotReady."""
+        """The settings in force; raises NotReady before there are any."""
         snapshot = self._keeper.snapshot
         if not snapshot.ready:
             raise NotReady('this box has no settings yet', 1.0)
         return snapshot.tree
 
     def mint(self, workspace: str, count: int) -> list[str]:
-        """Fresh tickets of this box."""
+        """Return `count` new tickets of this box."""
         lifetime = self.tree.fleet.control.ticket_seconds
         message = MintTickets(workspace, count, lifetime)
         return self._tickets.ask(message).result(TASK_SECONDS)
 
     def answer(self, incoming: Incoming) -> Answer:
-        """The answer to a request from the entry port."""
+        """Return the answer to a request from the entry port."""
         prepared = prepare(self.tree, incoming, self._environment.monotonic())
         if not prepared.ticket:
             return self._run(prepared)
@@ -90,7 +91,7 @@
         return self._relay(incoming, prepared, ticket)
 
     def answer_relayed(self, relayed: RelayedCall) -> Iterator[AnswerPart]:
-        """The answer to a request whose ticket a peer says is held here."""
+        """Yield the answer to a request that a peer relayed because of its ticket."""
         try:
             answer = self._run(self._prepare_relayed(relayed))
         except SeamholdError as error:
@@ -124,7 +125,7 @@
         prepared = prepare(self.tree, incoming, self._environment.monotonic())
         ticket = parse_ticket(prepared.ticket)
         if (ticket.box, ticket.incarnation) != (self._box, self._incarnation):
-            raise TicketUnknown('the box that held the ticket started anew')
+            raise TicketUnknown('the box that held the ticket has restarted')
         return prepared
 
     def _run(self, prepared: Prepared) -> Answer:
@@ -141,7 +142,7 @@
         return answer
 
     def _with_problem(self, body: Iterator[bytes], request_id: str) -> Iterator[bytes]:
-        """A stream that tells its caller why it broke before it breaks."""
+        """Yield a stream; if it fails, append a problem event before the error."""
         try:
             yield from body
         except SeamholdError as error:
@@ -171,7 +172,7 @@
         )
 
     def _relay(self, incoming: Incoming, prepared: Prepared, ticket: TicketName) -> Answer:
-        """Pass a ticketed request to the box that holds its ticket."""
+        """Relay a request to the box that holds its ticket."""
         self._metrics.count('relayed')
         remaining = prepared.call.deadline - self._environment.monotonic()
         headers = names.towards_engine(incoming.headers)
@@ -193,7 +194,7 @@
         if isinstance(head, AnswerEnd) and head.error:
             raise head.error
         if not isinstance(head, AnswerHead):
-            raise TicketUnreachable('the box that holds the ticket broke off')
+            raise TicketUnreachable('the box that holds the ticket closed the connection')
         headers = {header.name: header.value for header in head.headers}
         body = self._relayed_body(parts)
         if prepared.streamed:
@@ -202,7 +203,7 @@
 
     @staticmethod
     def _relayed_body(parts: Iterator[AnswerPart]) -> Iterator[bytes]:
-        """The data of a relayed answer; fails unless its end was seen."""
+        """Yield the data of a relayed answer; raises an error if its end is missing."""
         for part in parts:
             if isinstance(part, bytes):
                 yield part
@@ -210,4 +211,4 @@
                 if part.error:
                     raise part.error
                 return
-        raise TicketUnreachable('the box that holds the ticket broke off')
+        raise TicketUnreachable('the box that holds the ticket closed the connection')
--- a/packages/router/seamhold/ending.py
+++ b/packages/router/seamhold/ending.py
@@ -1,4 +1,4 @@
-"""How the program ends when a command fails: a message and an exit status."""
+"""Converts the failure of a command to a message and an exit status."""
 
 from collections.abc import Callable
 
@@ -10,7 +10,7 @@
 
 
 def exit_status(environment: Environment, command: Callable[[], object]) -> ExitStatus:
-    """Run a command; a failure of a known kind becomes a message and a status."""
+    """Run a command; print a known failure and return its exit status."""
     try:
         result = command()
     except SeamholdError as error:
--- a/packages/router/seamhold/engine_uses.py
+++ b/packages/router/seamhold/engine_uses.py
@@ -1,4 +1,4 @@
-"""Tells operators when much of a service is out of use to this box."""
+"""Warns operators if a large share of a service's engines is not in use."""
 
 from collections.abc import Iterable
 
@@ -7,12 +7,12 @@
 from .logs import logger
 from .metrics import Metrics
 
-#: Above this share of unused engines a service is worth a warning.
+#: Share of unused engines above which a service is logged as a warning.
 WARNED_SHARE = 1 / 3
 
 
 class EngineUses:
-    """Keeps the gauges, and logs when a service passes the share and comes back."""
+    """Sets the gauges, and logs when a service rises above the warned share or drops below."""
 
     def __init__(self, metrics: Metrics):
         self._metrics = metrics
@@ -20,7 +20,7 @@
         self._warned: set[str] = set()
 
     def note(self, uses: Iterable[ServiceUse]) -> None:
-        """How many engines are in use now."""
+        """Record how many engines of each service are in use."""
         for use in uses:
             self._metrics.engine_use(use)
             if (use.unused_share > WARNED_SHARE) != (use.service in self._warned):
--- a/packages/router/seamhold/engines.py
+++ b/packages/router/seamhold/engines.py
@@ -1,4 +1,4 @@
-"""One attempt at an engine over urllib3: what was sent and how it ended."""
+"""Sends one attempt to an engine over urllib3, and classifies how it ended."""
 
 from collections.abc import Iterator
 
@@ -26,7 +26,7 @@
 LEAVING_REASON = 'leaving'
 FULL_REASON = 'busy'
 CONNECT_SECONDS = 1.0
-#: The longest pause inside an answer that has begun.
+#: Maximum pause inside an answer that has begun, in seconds.
 STALL_SECONDS = 30.0
 READ_BYTES = 64 * 1024
 CONNECTIONS_PER_ENGINE = 64
@@ -34,17 +34,17 @@
 
 
 class EngineAnswer:
-    """An answer that has begun: status, headers and the bytes to come."""
+    """An answer that has begun: status, headers and the rest of the body."""
 
     def __init__(self, response: urllib3.BaseHTTPResponse):
         self._response = response
         self.status = response.status
         self.headers = response.headers
-        #: These servers tell nothing of their load.
+        #: These servers do not report their load.
         self.load: EngineLoad | None = None
 
     def chunks(self) -> Iterator[bytes]:
-        """The body as it comes; raises AttemptFailed if it is cut."""
+        """Yield the body as it arrives; raises AttemptFailed if it is cut."""
         try:
             while data := self._response.read1(READ_BYTES):
                 yield data
@@ -54,19 +54,22 @@
             raise AttemptFailed(Outcome.BROKEN, AnswerCut(f'cut: {error}')) from error
 
     def whole(self) -> bytes:
-        """The complete body; raises AttemptFailed if it is cut."""
+        """Return the complete body; raises AttemptFailed if it is cut."""
         return b''.join(self.chunks())
 
     def close(self) -> None:
-        """Let go: a body read to its end frees its connection for others,
-        anything less drops it, which cancels the call at the engine."""
+        """Release the answer.
+
+        After a body that was read to its end the connection is reused; otherwise it is
+        closed, which cancels the call at the engine.
+        """
         if not self._response.isclosed():
             self._response.close()
         self._response.release_conn()
 
 
 class EngineClient:
-    """Sends requests to engines, with bounded pools and times."""
+    """Sends requests to engines, with bounded connection pools and timeouts."""
 
     def __init__(self):
         self._pools = urllib3.PoolManager(
@@ -76,13 +79,13 @@
         )
 
     def stream_check(self, request: EngineRequest) -> StreamWatch:
-        """What watches over a stream that answers `request`."""
+        """Return a check for a stream that answers `request`."""
         return StreamWatch(request.request_id)
 
     def open(
         self, placed: Placed, request: EngineRequest, remaining: float, _: Cancellation
     ) -> EngineAnswer:
-        """Send the request and wait for the head of the answer.
+        """Send the request and return when the head of the answer has arrived.
 
         `remaining` is in seconds.  Raises AttemptFailed.
         """
@@ -151,9 +154,9 @@
         return None
 
     def has_ended(self, placed: Placed) -> bool:
-        """Whether the server's process ended, as far as a connection tells."""
+        """Whether the server's process has ended, judged by a connection attempt."""
         return refuses_connections(placed.address)
 
     def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         self._pools.clear()
--- a/packages/router/seamhold/guards.py
+++ b/packages/router/seamhold/guards.py
@@ -1,8 +1,8 @@
-"""What stands between a call and its second run.
+"""Guards that prevent a call from running twice.
 
-A guard's `begin` is called in the step before the first byte goes to an
-engine, and raises if the call was sent before.  `not_run` takes that back,
-only when the engines are certain not to have run it; `done` ends it.
+`begin` is called directly before the first byte is sent to an engine, and raises an error
+if the call was sent before.  `not_run` reverts it, only if the call is certain not to have
+run; `done` ends the guard.
 """
 
 from collections.abc import Callable
@@ -23,37 +23,38 @@
 from .metrics import Metrics
 from .tickets import BeginTicket, TicketDesk, TicketDone, TicketNotRun
 
+#: Maximum wait for a reply of the ticket task, in seconds.
 TASK_SECONDS = 5.0
 
 
 class Guard(Protocol):
-    """Lets a call be sent once."""
+    """Ensures that a call is sent at most once."""
 
     def begin(self, remaining: float) -> None:
-        """The call is about to be sent; `remaining` is in seconds."""
+        """Record that the call is about to be sent; `remaining` is in seconds."""
 
     def not_run(self) -> None:
-        """The call is certain not to have run."""
+        """Record that the call is certain not to have run."""
 
     def done(self) -> None:
-        """The call ended."""
+        """Record that the call has ended."""
 
 
 class OpenGuard:
-    """For calls that need none: each arrival is its own request."""
+    """Guards nothing: for calls whose every arrival is a separate request."""
 
     def begin(self, remaining: float) -> None:
-        """Nothing to check."""
+        """Do nothing."""
 
     def not_run(self) -> None:
-        """Nothing to take back."""
+        """Do nothing."""
 
     def done(self) -> None:
-        """Nothing to end."""
+        """Do nothing."""
 
 
 class TicketGuard:
-    """For a call whose ticket this box holds."""
+    """Guards a call whose ticket this box holds."""
 
     def __init__(self, desk: TicketDesk, ticket: TicketName, workspace: str, body_hash: str):
         self._desk = desk
@@ -67,7 +68,7 @@
         self._desk.ask(message).result(TASK_SECONDS)
 
     def not_run(self) -> None:
-        """Open the ticket again."""
+        """Reopen the ticket."""
         self._desk.send(TicketNotRun(self._ticket))
 
     def done(self) -> None:
@@ -76,7 +77,7 @@
 
 
 class ClaimGuard:
-    """For a not repeatable call with an idempotency key."""
+    """Guards a call with an idempotency key that is not repeatable."""
 
     def __init__(
         self,
@@ -93,11 +94,14 @@
         self._run_unclaimed = run_unclaimed
 
     def begin(self, remaining: float) -> None:
-        """Own the key, or raise what stands against it."""
+        """Acquire the key.
+
+        Raises KeyInUse, KeyMismatch, ClaimsFull or ClaimsUnavailable if that fails.
+        """
         try:
             state = self._claim(self._ask)
         except FutureTimeout as error:
-            raise ClaimsUnavailable('the key was not recorded in time', 1.0) from error
+            raise ClaimsUnavailable('the key was not stored in time', 1.0) from error
         except ClaimsUnavailable as error:
             if not self._run_unclaimed:
                 raise ClaimsUnavailable(
@@ -108,13 +112,13 @@
         if state is ClaimState.TAKEN:
             raise KeyInUse('a call with this key was sent before')
         if state is ClaimState.MISMATCH:
-            raise KeyMismatch('the key came before with another body')
+            raise KeyMismatch('this key was sent before with another body')
         if state is ClaimState.FULL:
-            raise ClaimsFull('too many keys are recorded', 60.0)
+            raise ClaimsFull('too many keys are stored', 60.0)
 
     def not_run(self) -> None:
-        """Give the key back, so that the caller's next try may run."""
+        """Release the key: the caller's next try may run."""
         self._writer.send(ReleaseClaim(self._ask.bucket, self._ask.key, self._ask.owner))
 
     def done(self) -> None:
-        """The claim stays: it is what stops a second run."""
+        """Do nothing: the claim stays stored to prevent a second run."""
--- a/packages/router/seamhold/headers.py
+++ b/packages/router/seamhold/headers.py
@@ -1,4 +1,4 @@
-"""Names of the headers that callers and boxes use, and which travel on."""
+"""Names of the headers that callers and boxes use, and which of them are forwarded."""
 
 from collections.abc import Iterable, Mapping
 
@@ -12,7 +12,7 @@
 TIMEOUT = 'Seamhold-Timeout'
 WORKSPACE = 'Seamhold-Workspace'
 
-#: Headers of one connection, which never travel on (RFC 9110, 7.6.1).
+#: Headers of a single connection, which are never forwarded (RFC 9110, 7.6.1).
 HOP_BY_HOP = frozenset(
     {
         'connection',
@@ -34,7 +34,7 @@
 
 
 def towards_engine(headers: Mapping[str, str]) -> dict[str, str]:
-    """The caller's headers that an engine gets."""
+    """Return the caller's headers that are forwarded to an engine."""
     return {
         name: value
         for name, value in headers.items()
@@ -45,5 +45,5 @@
 
 
 def towards_caller(headers: Iterable[tuple[str, str]]) -> dict[str, str]:
-    """The engine's headers that a caller gets."""
+    """Return the engine's headers that are forwarded to a caller."""
     return {name: value for name, value in headers if name.lower() in FROM_ENGINES}
--- a/packages/router/seamhold/job.py
+++ b/packages/router/seamhold/job.py
@@ -1,4 +1,4 @@
-"""One call with everything that is needed to run it, and what became of its attempts."""
+"""The state of one call while it runs: its request, its retry rule and its attempts."""
 
 from msgspec import Struct, field
 
@@ -11,22 +11,22 @@
 
 
 class Attempt(Struct):
-    """One attempt, as the logs tell it; `began` is in seconds on the box's clock."""
+    """One attempt as it is logged; `began` is in seconds on the box's clock."""
 
     placed: Placed
     began: float
-    #: When the head of its answer came, None if it never did.
+    #: When the head of the answer arrived, on the box's clock; None if it never did.
     answered: float | None = None
     outcome: str = ''
     code: str = ''
     seconds: float = 0.0
-    #: What its backend server told of itself, None if it did not.
+    #: The load that the backend server reported; None if it did not.
     told: EngineLoad | None = None
-    #: Why its backend server refused it, '' if it did not.
+    #: Why the backend server refused the attempt; '' if it did not.
     refusal: str = ''
 
     def as_log(self) -> dict:
-        """Plain values: what decided the attempt and how it ended."""
+        """Return plain values for the log: the basis of the placement and the outcome."""
         placed = self.placed
         return {
             'engine': placed.engine,
@@ -51,10 +51,10 @@
 
 
 class Job(Struct):
-    """One call with everything that is needed to run it.
+    """One call and the state of its execution.
 
-    `streamed` tells that the answer is passed on as it comes; `shared_tokens`
-    is how much of the prompt other calls may share.
+    `streamed` means that the answer is passed on as it arrives; `shared_tokens`
+    is the length of the prompt's part that other calls may share.
     """
 
     call: Call
@@ -64,19 +64,19 @@
     streamed: bool = False
     shared_tokens: int = 0
     cancellation: Cancellation = field(default_factory=Cancellation)
-    #: Attempts that reached a backend server, and those at which one said nothing.
+    #: Attempts that reached a backend server, and connection attempts that none answered.
     sent: int = 0
     silent: int = 0
     maybe_ran: bool = False
-    #: Engines ended under its request: it runs alone, and what comes of that is told.
+    #: Engines ended under this request: it runs alone, and the result is reported to peers.
     on_trial: bool = False
-    #: Whether its engine answered it, be it with a failure.
+    #: Whether an engine answered the call, even with a failure.
     answered: bool = False
     attempts: list[Attempt] = field(default_factory=list)
 
     @property
     def identity(self) -> RequestIdentity:
-        """What the call has in common with others that ask for the same."""
+        """The identity that this call shares with other calls of the same request."""
         request = self.request
         return RequestIdentity(
             self.call.workspace, request.host, request.method, request.path, request.body
--- a/packages/router/seamhold/keeper.py
+++ b/packages/router/seamhold/keeper.py
@@ -1,8 +1,8 @@
 """The task that owns the settings in force on this box.
 
-Versions come from the platform or from peers, in any order; the pure state
-in `seamhold_settings.versions` decides.  Other tasks read a snapshot, which
-is replaced whole and never changed.
+Versions come from the platform or from peers, in any order; the state machine in
+`seamhold_settings.versions` decides which one applies.  Other tasks read an immutable
+snapshot, which is replaced as a whole.
 """
 
 import threading
@@ -15,12 +15,12 @@
 from .metrics import Metrics
 from .tasks import Ask, Task
 
-#: How long an offer may take to be answered.
+#: Maximum wait for the reply to an offer, in seconds.
 OFFER_SECONDS = 5.0
 
 
 class SettingsSnapshot(Struct, frozen=True):
-    """What is in force: the tree, and what peers compare."""
+    """The settings in force, and the values by which peers compare them."""
 
     tree: Tree
     total: int
@@ -29,14 +29,14 @@
 
 
 class Offer(Ask):
-    """Versions that the platform or a peer told; answered by a Step each."""
+    """Offers versions from the platform or a peer; the reply is a Step for each."""
 
     candidates: list[Candidate]
     source: str
 
 
 class WantNewer(Ask):
-    """Asks for the objects that are ahead of `known`."""
+    """Asks for the objects that are newer than the revisions in `known`."""
 
     known: dict[str, int]
 
@@ -46,7 +46,7 @@
 
 
 class SettingsReport(Struct, frozen=True):
-    """What the status page shows of the settings."""
+    """The settings' part of the status page."""
 
     revisions: dict[str, int]
     edits: dict[str, str]
@@ -58,7 +58,7 @@
 
 
 class SettingsKeeper(Task):
-    """Owns the settings in force and tells when they change."""
+    """Owns the settings in force; calls `on_change` with the tree after each change."""
 
     name = 'settings'
 
--- a/packages/router/seamhold/ports.py
+++ b/packages/router/seamhold/ports.py
@@ -1,8 +1,7 @@
-"""What the box asks of the protocols around it.
+"""Interfaces between a box and the protocols around it.
 
-Each protocol that a fleet may have to speak is one implementation of these:
-towards callers, towards backend servers, and towards the object store.  A
-dialect translates and decides nothing.
+A fleet's protocols towards callers, backend servers and the object store are
+implementations of these interfaces.  A dialect only translates and makes no decisions.
 """
 
 import threading
@@ -20,11 +19,11 @@
 
 
 class EngineRequest(Struct, frozen=True):
-    """What is sent to a backend server.
+    """A request to a backend server.
 
-    `resume_after` is the id of the last event of a stream that was passed
-    on, '' for a stream from its start.  `host` is what the caller asked, '' if that
-    tells nothing.
+    `resume_after` is the id of the last event of a stream that was passed on, '' for a
+    stream from its start.  `host` is the host that the caller requested, '' if requests are
+    not distinguished by it.
     """
 
     request_id: str
@@ -39,7 +38,7 @@
 
 
 class Answer(Struct):
-    """What goes to the caller; `body` is whole or an iterator that may fail."""
+    """The answer to a caller; `body` is complete, or an iterator that may raise an error."""
 
     status: int
     headers: dict[str, str]
@@ -48,7 +47,7 @@
 
 
 class EngineLoad(Struct, frozen=True):
-    """What a backend server told of itself: calls that run, that wait, and its slots."""
+    """The load that a backend server reports: running calls, waiting calls and slots."""
 
     running: int
     waiting: int
@@ -56,7 +55,7 @@
 
     @property
     def requests(self) -> int:
-        """All calls there."""
+        """The number of running and waiting calls."""
         return self.running + self.waiting
 
     @property
@@ -66,9 +65,10 @@
 
 
 class Refusal(StrEnum):
-    """Why a backend server refused a call, as far as its answer tells.
+    """Why a backend server refused a call, as far as its answer shows.
 
-    `SLOTS_FREE` leaves its memory, or the call's time in its queue.
+    `SLOTS_FREE` means that its slots were not the reason, which leaves its memory or the
+    call's time in its queue.
     """
 
     LEAVING = 'leaving'
@@ -78,13 +78,12 @@
 
 
 class AttemptFailed(Exception):
-    """An attempt that ended without an answer that can be passed on as good.
+    """An attempt that ended without a successful answer.
 
-    `outcome` tells whether it may have run, `error` is what a caller is
-    told if nothing else is tried.  `answer` is the backend server's own
-    failure, which is passed on unchanged if nothing else is tried.  `load` is what
-    the server told of itself, if it did.  `nobody_listens` tells of an attempt that was
-    not sent that the connection was refused: the server's process ended.
+    `outcome` tells whether it may have run.  If there is no retry the caller receives
+    `answer`, the backend server's own failure, unchanged, or else `error`.  `load` is the
+    load that the server reported, if any.  `nobody_listens` is set if the attempt was not
+    sent because the connection was refused: the server's process has ended.
     """
 
     def __init__(
@@ -115,10 +114,10 @@
 
 
 class Cancellation:
-    """Lets another thread break off what a call waits for.
+    """Lets another thread cancel the operation that a call waits for.
 
-    What blocks the call attaches the way to break it off; a call that is
-    cancelled already breaks off at once.
+    A blocking operation attaches a function that aborts it.  If the call is already
+    cancelled, the function is called immediately.
     """
 
     def __init__(self):
@@ -127,7 +126,7 @@
         self._lock = threading.Lock()
 
     def attach(self, abort: Callable[[], None] | None) -> None:
-        """Name what breaks off the wait that begins, or None after it."""
+        """Set the function that aborts the wait that follows; None after the wait."""
         with self._lock:
             self._abort = abort
             cancelled = self.cancelled
@@ -135,7 +134,7 @@
             abort()
 
     def cancel(self) -> None:
-        """Break off whatever the call waits for, now and later."""
+        """Abort the current wait of the call and every later one."""
         with self._lock:
             self.cancelled = True
             abort = self._abort
@@ -144,39 +143,42 @@
 
 
 class OpenAnswer(Protocol):
-    """An answer that has begun; `load` is what the server told of itself, if it did."""
+    """An answer that has begun; `load` is the load that the server reported, if any."""
 
     status: int
     headers: Mapping[str, str]
     load: EngineLoad | None
 
     def chunks(self) -> Iterator[bytes]:
-        """The body as it comes; raises AttemptFailed if it is cut."""
+        """Yield the body as it arrives; raises AttemptFailed if it is cut."""
 
     def whole(self) -> bytes:
-        """The complete body; raises AttemptFailed if it is cut."""
+        """Return the complete body; raises AttemptFailed if it is cut."""
 
     def close(self) -> None:
-        """Let go of the answer; one that is not whole is cancelled."""
+        """Release the answer; cancels the call if the answer was not read to its end."""
 
 
 class StreamCheck(Protocol):
-    """Passes on whole events only and tells how a stream stands."""
+    """Passes on whole events only, and tracks the state of a stream.
+
+    `foreign` is set if the stream carries events of another request.
+    """
 
     foreign: bool
 
     @property
     def position(self) -> str:
-        """Id of the last event passed on, '' for none."""
+        """The id of the last event that was passed on, '' for none."""
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes in; give back those that end with a whole event."""
+        """Add bytes; return those that end with a whole event."""
 
     def end(self) -> bool:
-        """The stream was closed: whether it had come to its end."""
+        """Return whether the stream, which was closed, is complete."""
 
     def restart(self) -> None:
-        """The stream goes on from another backend server."""
+        """Prepare to continue from another backend server."""
 
 
 class Backends(Protocol):
@@ -189,64 +191,67 @@
         remaining: float,
         cancellation: Cancellation,
     ) -> OpenAnswer:
-        """Send the request and wait for the head of its answer; `remaining` is in seconds.
+        """Send the request and return when the head of the answer has arrived.
 
-        Raises AttemptFailed.
+        `remaining` is in seconds.  Raises AttemptFailed.
         """
 
     def stream_check(self, request: EngineRequest) -> StreamCheck:
-        """What watches over a stream that answers `request`."""
+        """Return a check for a stream that answers `request`."""
 
     def has_ended(self, placed: Placed) -> bool:
-        """Whether the server's process ended, as far as a connection tells."""
+        """Whether the server's process has ended, judged by a connection attempt."""
 
     def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
 
 
 class ObjectStore(Protocol):
-    """Where settings and lists are kept: conditional writes and watches."""
+    """The store of settings and lists, with conditional writes and watches."""
 
     def list(self, kind: ObjectKind, stale: bool = False) -> Page:
-        """All objects of a kind, and the version to watch from.
+        """Return all objects of a kind and the version to watch from.
 
-        `stale` allows an answer that is some seconds old, which may cost less.
+        `stale` allows an answer that is a few seconds old, which may cost less.
         """
 
     def get(self, kind: ObjectKind, name: str) -> PlatformObject:
-        """One object, or PlatformNotFound."""
+        """Return one object; raises PlatformNotFound."""
 
     def put(self, kind: ObjectKind, item: PlatformObject) -> PlatformObject:
-        """Write if the object is still at `item.version`; '' means it is new."""
+        """Write the object if it is still at `item.version`; '' means that it must be new.
+
+        Returns the written object; raises PlatformConflict.
+        """
 
     def watch(self, kind: ObjectKind, version: str, seconds: float) -> Iterator[WatchEvent]:
-        """Changes after `version`, for at most so many seconds."""
+        """Yield the changes after `version`, for at most `seconds`."""
 
     def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
 
 
 class RemovableStore(ObjectStore, Protocol):
-    """A store whose objects the boxes themselves remove."""
+    """A store from which boxes can remove objects."""
 
     def delete(self, kind: ObjectKind, name: str, version: str) -> None:
-        """Remove the object if it is still at `version`."""
+        """Remove the object if it is still at `version`; raises PlatformConflict."""
 
 
 class PromptPart(Struct, frozen=True):
-    """A part of a prompt, shared between requests by its id; `tokens` long."""
+    """A part of a prompt, `tokens` long; requests with the same `id` share it."""
 
     id: str
     tokens: int
 
 
 class CallerWords(Struct, frozen=True):
-    """What a caller's head says, in the product's own terms.
+    """The fields of a caller's request head, independent of the dialect.
 
-    `remaining` is the time the caller will wait, in seconds, None for no
-    limit.  `key` is the caller's key as it was sent, '' for none.  The parts
-    of the prompt come in order; the last belongs to the request itself.
-    `output_tokens` is the most that may be generated, 0 if not told.
+    `remaining` is the time that the caller will wait, in seconds, None for no limit.  `key`
+    is the caller's key as it was sent, '' for none.  The parts of the prompt are in order;
+    the last one belongs to this request alone.  `output_tokens` is the maximum number of
+    tokens to generate, 0 if it is not known.
     """
 
     request_id: str
@@ -258,10 +263,10 @@
 
 
 class AttemptWords(Struct, frozen=True):
-    """What a backend server is told beside the caller's own head.
+    """The fields that a box adds to the caller's head for a backend server.
 
-    `fetch_from` is the address of another that has read the prompt's shared
-    parts, '' for none.
+    `remaining` is in seconds.  `fetch_from` is the address of another backend server that
+    has read the shared parts of the prompt, '' for none.
     """
 
     request_id: str
@@ -274,11 +279,12 @@
 
 
 class Verdict(Struct, frozen=True):
-    """What the head of an answer says of the attempt.
+    """The classification of an attempt by the head of its answer.
 
-    `genuine`: a backend server made it, and for this request.  `refused`: it
-    did not run the call.  `misdirected`: it is not the incarnation that was expected.
-    That a server leaves is told by the platform's list alone: no answer says so for certain.
+    `genuine`: a backend server made the answer, and for this request.  `refused`: the server
+    did not run the call.  `misdirected`: the server is not the expected incarnation.
+    Whether a server is leaving follows only from the platform's list: no answer is reliable
+    about it.
     """
 
     genuine: bool
@@ -288,64 +294,64 @@
 
 
 class CallerDialect(Protocol):
-    """How callers say what they want."""
+    """The protocol towards callers."""
 
     def read(self, headers: Mapping[str, str]) -> CallerWords:
-        """What a head says; raises BadRequest if it cannot be read.
+        """Parse a request head; raises BadRequest if it is invalid.
 
-        `headers` are by lower-case name.
+        The keys of `headers` are in lower case.
         """
 
     def retry_after(self, seconds: float) -> str:
-        """When to come back, as callers read it."""
+        """Return the value of the Retry-After header for a delay in seconds."""
 
     def never_passed_on(self) -> frozenset[str]:
-        """Lower-case names of headers that only the box may set or see."""
+        """Return the lower-case names of headers that only the box may set or see."""
 
 
 class BackendDialect(Protocol):
-    """How backend servers are told of an attempt, and how they answer.
+    """The protocol towards backend servers.
 
-    At `held_path` they tell which parts of prompts they keep.
+    `held_path` is the path at which they list the prompt parts that they hold.
     """
 
     held_path: str
 
     def headers(self, words: AttemptWords) -> dict[str, str]:
-        """The headers that the box itself adds to the caller's."""
+        """Return the headers that the box adds to the caller's."""
 
     def verdict(self, status: int, headers: Mapping[str, str], request_id: str) -> Verdict:
-        """What the head of an answer says."""
+        """Classify the head of an answer."""
 
     def held(self, body: dict, started: int) -> list[PromptPart]:
-        """The parts of prompts that a backend server says it keeps.
+        """Return the prompt parts that a backend server holds, from the body at `held_path`.
 
-        Raises ValueError, TypeError, KeyError or AttributeError if that cannot be read,
-        or is of another start than `started`, which is 0 if it is not known.
+        Raises ValueError, TypeError, KeyError or AttributeError if the body is invalid or
+        belongs to another start of the server than `started`, 0 if that is unknown.
         """
 
 
 class Dialect(Protocol):
-    """A platform's protocols together; found by its entry point's name."""
+    """All protocols of a platform, loaded by the name of its entry point."""
 
     callers: CallerDialect
     backends: BackendDialect
     ready_path: str
 
     def store(self, url: str) -> RemovableStore:
-        """A client of the platform's store."""
+        """Return a client of the platform's store."""
 
     def tree(self, item: PlatformObject) -> dict:
-        """The values of the whole settings tree that an object holds."""
+        """Return the values of the complete settings tree in an object."""
 
     def engine(self, item: PlatformObject) -> Engine:
-        """A backend server as the platform lists it."""
+        """Convert an object to a backend server."""
 
     def evacuation(self, item: PlatformObject) -> Evacuation:
-        """An evacuation of a failure domain as the operators ordered it."""
+        """Convert an object to an evacuation of a failure domain, as ordered by operators."""
 
     def box(self, item: PlatformObject) -> Box:
-        """A box as it wrote itself into the store."""
+        """Convert an object to a box."""
 
     def box_object(self, box: Box) -> PlatformObject:
-        """A box as it writes itself into the store."""
+        """Return the object by which a box registers itself in the store."""
--- a/packages/router/seamhold/problems.py
+++ b/packages/router/seamhold/problems.py
@@ -1,4 +1,4 @@
-"""Failures as callers see them: problem documents (RFC 9457)."""
+"""Problem documents for callers (RFC 9457)."""
 
 import json
 import math
@@ -9,9 +9,9 @@
 
 
 def problem(error: SeamholdError, request_id: str) -> dict:
-    """The document for a failure.
+    """Return the problem document of an error.
 
-    `error` repeats it in the shape that clients of model services read.
+    Its key `error` repeats the error in the form that clients of model services read.
     """
     document = {
         'type': f'urn:seamhold:{error.code}',
@@ -30,17 +30,17 @@
 
 
 def title(error: SeamholdError) -> str:
-    """What a person reads first."""
+    """Return the title of an error: the first line of its class's docstring."""
     return (type(error).__doc__ or error.code).splitlines()[0]
 
 
 def retry_after_seconds(error: SeamholdError) -> int:
-    """Whole seconds, at least one, as Retry-After wants them."""
+    """Return the value for Retry-After: whole seconds, from 1 to 3600."""
     return max(1, min(3600, math.ceil(error.retry_after)))
 
 
 def problem_headers(error: SeamholdError, request_id: str) -> dict[str, str]:
-    """The headers that go with the document."""
+    """Return the headers of a problem document's response."""
     headers = {'Content-Type': CONTENT_TYPE, 'X-Request-Id': request_id}
     if error.retry_after is not None:
         headers['Retry-After'] = str(retry_after_seconds(error))
@@ -48,5 +48,5 @@
 
 
 def problem_event(error: SeamholdError, request_id: str) -> bytes:
-    """The last event of a stream that failed after it began."""
+    """Return the last event of a stream that failed after it began."""
     return b'data: ' + json.dumps(problem(error, request_id)).encode() + b'\n\n'
--- a/packages/router/seamhold/runner.py
+++ b/packages/router/seamhold/runner.py
@@ -1,4 +1,4 @@
-"""Runs one call: a place, an attempt, and what follows from how it ended."""
+"""Runs one call: placement, attempts and retries."""
 
 from collections.abc import Iterator
 from concurrent.futures import Future
@@ -41,18 +41,18 @@
 )
 from .trials import WAIT_SECONDS, Trials
 
-#: Slack for the decider to answer after a call's own time is up.
+#: Time for the decider to reply after a call's deadline, in seconds.
 DECIDER_SLACK_SECONDS = 0.2
-#: Backend servers that a call may wait for in vain: each costs the whole time for a
-#: connection.  Those that ended refuse within a round trip and are not counted: a call
-#: tries each once, and its box avoids them from then on.
+#: Maximum number of backend servers that may fail to answer a call's connection attempt:
+#: each costs the whole connect timeout.  Servers that have ended refuse within a round trip
+#: and are not counted: a call tries each once, and the box then avoids them.
 SILENT_MAX = 4
-#: Ways for an attempt to fail that may be the end of its engine.
+#: Outcomes that may mean that the engine ended.
 BREAKS = frozenset({Outcome.FAILED, Outcome.BROKEN})
 
 
 class Runner:
-    """Runs calls to their end on request threads."""
+    """Runs calls to completion on request threads."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         self._log = logger('runner')
 
     def run(self, job: Job) -> Answer:
-        """Give the call's answer, or raise the failure its caller is told."""
+        """Return the call's answer, or raise the error that its caller receives."""
         begun = False
         try:
             self._permit(job, WAIT_SECONDS)
@@ -91,9 +91,10 @@
             raise
 
     def _permit(self, job: Job, patience: float) -> None:
-        """Let the call run if it may, as others do or alone; waits `patience` seconds for that.
+        """Wait at most `patience` seconds for permission to run, normally or as a trial.
 
-        Raises RequestQuarantined or RequestOnTrial: then it has not run and will not.
+        Raises RequestQuarantined or RequestOnTrial if the call must not run; then nothing
+        is sent to an engine.
         """
         identity = job.identity
         self._trials.catch_up()
@@ -105,14 +106,15 @@
             ask, job.call.service, min(patience, seconds), job.cancellation
         )
         if job.on_trial:
-            # Where fewest calls run fewest die with it, if it does end its engine.
+            # If it ends its engine, the one with the fewest calls loses the fewest.
             job.call = replace(job.call, sticky=False)
 
     def _permit_still(self, job: Job) -> None:
-        """Ask again before an attempt: the call may have waited, or met engines that refuse.
+        """Check the permission again before an attempt.
 
-        Meanwhile others may have ended under copies of it.  It has a place by now and waits no
-        more, so that suspects hold no place that others could use.
+        While the call was queued or refused by engines, other engines may have ended under
+        copies of it.  It does not wait here: it already has a placement, and suspects must
+        not keep one that other calls could use.
         """
         if job.on_trial:
             self._trials.check_proof(job.identity.digest)
@@ -120,7 +122,7 @@
             self._permit(job, 0.0)
 
     def _told(self, job: Job, error: SeamholdError, begun: bool) -> SeamholdError:
-        """The failure as the caller is told: the truth of all attempts."""
+        """Return the caller's error, with `ran` set for all attempts, and end the guard."""
         if job.maybe_ran:
             error.ran = Ran.UNKNOWN
         if begun and not job.maybe_ran:
@@ -133,7 +135,7 @@
         return job.call.deadline - self._environment.monotonic()
 
     def _check_time(self, job: Job) -> None:
-        # A box may have been frozen between its decision and this line.
+        # The process may have been suspended between the decision and this line.
         if self._remaining(job) <= 0:
             raise DeadlinePassed('the time ran out before the call was sent')
 
@@ -163,7 +165,7 @@
     def _engine_failure(
         self, job: Job, placed: Placed, failure: AttemptFailed, error: SeamholdError
     ) -> Answer:
-        """What the engine itself answered, if that is the last word."""
+        """Return the engine's own failure answer if there is one, else raise `error`."""
         if failure.answer is None or isinstance(error, CallerLeft):
             raise error
         job.guard.done()
@@ -185,7 +187,7 @@
         return Answer(answer.status, dict(answer.headers), body, placed)
 
     def _open(self, job: Job, placed: Placed, request: EngineRequest) -> OpenAnswer:
-        """Begin one attempt; counted by whether it reached its server."""
+        """Start one attempt and count it by whether it reached its server."""
         job.attempts.append(Attempt(placed, self._environment.monotonic()))
         try:
             answer = self._engines.open(placed, request, self._remaining(job), job.cancellation)
@@ -209,13 +211,16 @@
         if load is None:
             return
         job.attempts[-1].told = load
-        # The call itself was not there yet when it was placed.
+        # The call itself was not part of the load when it was placed.
         self._metrics.belief_error(job.call.service, load.requests - placed.load - 1)
         began = job.attempts[-1].began
         self._decider.send(EngineTold(placed.engine, load.requests, began))
 
     def _next_place(self, job: Job, placed: Placed, failure: AttemptFailed, passed: bool) -> Placed:
-        """Where the call goes after a failed attempt; raises if nowhere."""
+        """Return the placement for a retry; raises if the call must not be retried.
+
+        `passed` tells whether a part of a streamed answer may already be with the caller.
+        """
         self._note_attempt(job, failure.outcome, failure.error.code)
         if failure.outcome not in NOT_RUN:
             job.maybe_ran = True
@@ -225,8 +230,8 @@
         may_go_on = self._may_go_on(job, failure, passed)
         if self._has_ended(placed, failure):
             ends = self._note_end(job, placed, may_go_on)
-            # Of a second end the call may be the cause: what a box tries again by itself
-            # ends engines faster than anybody learns of it.
+            # The call may be the cause of a second end: automatic retries would end engines
+            # faster than the boxes learn of it.
             may_go_on = may_go_on and not job.on_trial and ends < SUSPECT_ENDS
         if failure.leaving:
             self._decider.send(EngineLeaving(placed.engine))
@@ -252,20 +257,23 @@
         try:
             self._permit_still(job)
         except (RequestQuarantined, RequestOnTrial) as refusal:
-            # Of one that may have run the caller must not be told that it was not.
+            # The refusal says that the call did not run, which is wrong if it may have run.
             raise (failure.error if job.maybe_ran else refusal) from refusal
         return found
 
     def _has_ended(self, placed: Placed, failure: AttemptFailed) -> bool:
-        """Whether the engine ended under the call: a cut or a wrong answer may be less."""
+        """Whether the engine's process ended under the call.
+
+        A connection that is cut or an invalid answer may have another cause.
+        """
         if failure.outcome not in BREAKS or isinstance(failure.error, AnswerTimeout):
             return False
         return self._engines.has_ended(placed)
 
     def _note_end(self, job: Job, placed: Placed, wanted: bool) -> int:
-        """Tell which call an engine ended under; how many have under its request.
+        """Report that an engine ended under a call; return the number of ends of its request.
 
-        The number is joined with what other boxes met only where it is `wanted`.
+        The number includes the ends that other boxes know only if it is `wanted`.
         """
         self._metrics.count('engine_ended_under_call')
         attempt = job.attempts[-1]
@@ -293,23 +301,23 @@
 
     @staticmethod
     def _may_go_on(job: Job, failure: AttemptFailed, passed: bool) -> bool:
-        """Whether the route's rule allows another attempt."""
+        """Whether the route's retry rule allows another attempt."""
         if failure.outcome is Outcome.NOT_SENT:
             return job.silent < SILENT_MAX and (not passed or job.rule.repeatable)
         resumes = passed and job.rule.repeatable
         return may_retry(job.rule, failure.outcome, job.sent, passed and not resumes)
 
     def _within_budget(self, job: Job, failure: AttemptFailed) -> bool:
-        """Whether the fleet's budget allows it; what was not sent costs nothing."""
+        """Whether the retry budget allows another attempt; a call that was not sent is free."""
         if failure.outcome is Outcome.NOT_SENT:
             return True
         return self._budgets.take(job.call.service)
 
     def _pass(self, job: Job, placed: Placed, answer: OpenAnswer) -> Iterator[bytes]:
-        """The stream as it comes, resumed elsewhere if it may be.
+        """Yield the stream as it arrives, and resume it at another engine if allowed.
 
-        The finally clause also runs when the caller leaves: it cancels the
-        call at the engine.
+        The finally clause also runs when the caller disconnects: it cancels the call at
+        the engine.
         """
         watch = self._engines.stream_check(job.request)
         outcome = Outcome.CANCELLED
@@ -333,7 +341,7 @@
             self._finish(job, outcome)
 
     def _resume(self, job: Job, placed: Placed, watch: StreamCheck) -> OpenAnswer:
-        """Open the rest of the stream at another engine."""
+        """Open the remainder of the stream at another engine."""
         watch.restart()
         request = job.request
         if watch.position:
--- a/packages/router/seamhold/streams.py
+++ b/packages/router/seamhold/streams.py
@@ -1,21 +1,21 @@
-"""Checks on a stream of server-sent events while it passes through.
+"""Checks a stream of server-sent events while it is passed on.
 
-Events are counted and matched by their bytes; none is parsed.
+Events are counted and matched by their bytes and not parsed.
 """
 
 EVENT_END = b'\n\n'
-#: A raw line break never stands inside JSON, so text cannot forge these.
+#: JSON contains no raw line break, so a text inside an event cannot imitate these.
 OBJECT_LINE = b'\ndata: {'
 DONE_LINE = b'\ndata: [DONE]'
-#: An event larger than this is not one of a chat stream.
+#: Maximum size of an event; a larger one does not belong to a chat stream.
 PENDING_MAX_BYTES = 1024 * 1024
 
 
 class StreamWatch:
-    """Passes on whole events only and tells how the stream stands.
+    """Passes on whole events only, and tracks the state of the stream.
 
-    `events` counts events with data that were passed on, which is where a
-    resumed stream goes on.
+    `events` counts the events with data that were passed on, which is the position from
+    which a stream is resumed.  `foreign` is set if events belong to another request.
     """
 
     def __init__(self, request_id: str):
@@ -26,7 +26,7 @@
         self.foreign = False
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes in; give back those that end with a whole event."""
+        """Add bytes; return those that end with a whole event."""
         data = self._pending + data
         cut = data.rfind(EVENT_END)
         if cut < 0:
@@ -46,13 +46,13 @@
 
     @property
     def position(self) -> str:
-        """Where a resumed stream goes on; '' while nothing was passed on."""
+        """The position from which the stream is resumed; '' before the first event."""
         return str(self.events) if self.events else ''
 
     def end(self) -> bool:
-        """The engine closed the stream: whether it had come to its end."""
+        """Return whether the stream, which the engine closed, is complete."""
         return self.done
 
     def restart(self) -> None:
-        """The stream goes on from another engine; a half event is dropped."""
+        """Prepare to continue from another engine; drops a partial event."""
         self._pending = b''
--- a/packages/router/seamhold/tasks.py
+++ b/packages/router/seamhold/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks: a thread that owns its state and takes typed messages from a queue."""
+"""Tasks: threads that own their state and handle typed messages from a queue."""
 
 import math
 import queue
@@ -11,26 +11,27 @@
 from .clock import boot_seconds
 from .logs import logger
 
-#: A task's own thread is not woken to sleep less by so little, in seconds: two
-#: readings of the clock differ by some microseconds.
+#: A task's thread is not woken to shorten its sleep by less than this, in seconds: two
+#: readings of the clock differ by a few microseconds.
 WAKE_SLACK_SECONDS = 0.002
 
 
 class Ask(Struct, kw_only=True):
-    """Base of messages that want an answer."""
+    """Base of messages that get a reply."""
 
     reply: Future = field(default_factory=Future)
 
 
 class Stop:
-    """The message that ends a task."""
+    """The message that stops a task."""
 
 
 class Task:
-    """A thread with a queue; subclasses say how each message is handled.
+    """A thread with a queue; subclasses define how each message is handled.
 
-    `handlers` maps the type of a message to the method that takes it.  What
-    the method returns answers an Ask; what it raises fails it.
+    `handlers` maps the type of a message to its handler method.  The method's return value
+    is the reply to a Query, and an exception that it raises fails the Query.  A method that
+    returns the message itself sets the reply later.
     """
 
     name = 'task'
@@ -42,33 +43,33 @@
         self.handlers = {}
 
     def start(self) -> None:
-        """Begin to take messages."""
+        """Start to handle messages."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End the task after the messages that came before."""
+        """Stop the task after the messages that are already queued."""
         self._queue.put(Stop())
         if self._thread.is_alive():
             self._thread.join(timeout=5.0)
 
     def send(self, message: object) -> None:
-        """Hand the task a message; it is handled in order."""
+        """Queue a message; messages are handled in order."""
         self._queue.put(message)
 
     def ask(self, message: Ask) -> Future:
-        """Hand the task a message and get a future of its answer."""
-        # It cannot be cancelled any more: an asker that gives up, as a peer that breaks off
-        # its call does, must not make the answer an error of the task.
+        """Queue a message and return a future of its reply."""
+        # The future cannot be cancelled from here on: setting the result of a cancelled
+        # future would raise an error in the task, for example after a peer cancels its call.
         message.reply.set_running_or_notify_cancel()
         self.send(message)
         return message.reply
 
     def patience(self) -> float | None:
-        """Seconds until `idle` wants to be called, or None for never."""
+        """Return the seconds until `idle` must be called, or None for never."""
         return None
 
     def idle(self) -> None:
-        """Called when `patience` ran out."""
+        """Called when the time that `patience` returned has passed."""
 
     def _run(self) -> None:
         while True:
@@ -89,7 +90,7 @@
         try:
             answer = handler(message)
         except Exception as error:
-            # The asker decides what it means.
+            # The sender of the query handles the error.
             message.reply.set_exception(error)
         else:
             if answer is not message:
@@ -99,21 +100,20 @@
         try:
             handler(*args)
         except Exception:
-            # A task must outlive one bad message: it owns state others need.
+            # A failed message must not end the task: it owns state that others need.
             self.log.exception('task.error')
 
 
 class SerialTask(Task):
-    """A task whose messages are handled one at a time by the threads that bring them.
+    """A task whose messages are handled one at a time by the threads that send them.
 
-    A thread that finds the task at rest handles its own message and what comes
-    meanwhile; one that finds it at work leaves its message there.  So a message
-    costs no switch of threads unless two meet.  The task's own thread only lets
-    time pass: it sleeps until `patience` is over.
+    A thread that finds the task unused handles its own message and those that arrive
+    meanwhile; a thread that finds it in use only queues its message.  A message therefore
+    costs no thread switch unless two threads send at the same time.  The task's own thread
+    only runs the timer: it sleeps for the time that `patience` returns.
 
-    It gains processor time where messages are many and small: 24 boxes on a calm day
-    of 50 s used 27 s where a queue and a thread for their decisions, woken every
-    0.05 s, used 38 s.
+    This saves processor time if messages are many and small: 24 boxes under low load for
+    50 s used 27 s, against 38 s with a queue and a decision thread woken every 0.05 s.
     """
 
     def __init__(self):
@@ -126,19 +126,19 @@
         self._wakes_at = math.inf
 
     def stop(self) -> None:
-        """End the task's own thread."""
+        """Stop the task's own thread."""
         self._stopped = True
         self._alarm.set()
         if self._thread.is_alive():
             self._thread.join(timeout=5.0)
 
     def send(self, message: object) -> None:
-        """Hand the task a message; it is handled in order."""
+        """Queue a message; it is handled in order, by this thread if the task is unused."""
         self._waiting.append(message)
         self._work()
 
     def _work(self) -> None:
-        # Asked again after each turn: a message may come just before it ends.
+        # Checked again after each release of the lock: a message may arrive just before it.
         while self._waiting and self._turn.acquire(blocking=False):
             try:
                 self._handle_waiting()
@@ -151,7 +151,7 @@
             self._handle(self._waiting.popleft())
 
     def _wake_in_time(self) -> None:
-        """Wake the task's own thread if it would sleep too long now."""
+        """Wake the task's own thread if its sleep would now last too long."""
         if self._next_wake() < self._wakes_at - WAKE_SLACK_SECONDS:
             self._alarm.set()
 
--- a/packages/router/seamhold/tickets.py
+++ b/packages/router/seamhold/tickets.py
@@ -10,7 +10,7 @@
 
 
 class MintTickets(Ask):
-    """Asks for fresh tickets; `lifetime` is in seconds."""
+    """Requests new tickets; `lifetime` is in seconds."""
 
     workspace: str
     count: int
@@ -18,7 +18,7 @@
 
 
 class BeginTicket(Ask):
-    """A ticketed call is about to be sent; fails if it ever was."""
+    """Marks a ticket used before its call is sent; fails if the call was sent before."""
 
     ticket: TicketName
     workspace: str
@@ -26,19 +26,19 @@
 
 
 class TicketNotRun(Struct):
-    """The engine is certain not to have run the call."""
+    """Reports that the call of a ticket is certain not to have run."""
 
     ticket: TicketName
 
 
 class TicketDone(Struct):
-    """The ticketed call ended."""
+    """Reports that the call of a ticket has ended."""
 
     ticket: TicketName
 
 
 class TicketDesk(Task):
-    """Owns the ticket book of this box's incarnation."""
+    """Owns the tickets of this box's incarnation."""
 
     name = 'tickets'
 
--- a/packages/router/seamhold/trials.py
+++ b/packages/router/seamhold/trials.py
@@ -1,10 +1,10 @@
-"""Asks, for request threads, whether a request may run that engines ended under.
+"""Decides, for request threads, whether a request may run under which engines ended.
 
-Where nothing has ended this costs a look into an empty set.  The two boxes that rank first
-for a request among those that are heard decide: it runs alone by the word of both, so that
-boxes of which each knows another one less ask a box in common.  While one of them does not
-answer the request waits, for its patience.  What the platform's store tells stands in for boxes
-that are missing.
+If no engine has ended this only checks an empty set.  The owners of a request, the two
+boxes that rank first for it among the responsive ones, decide: it runs alone only if both
+grant it, because boxes that each miss a different peer still share one owner.  While an
+owner does not answer the request waits, up to its patience.  The platform's store replaces
+boxes that are missing.
 """
 
 import threading
@@ -40,19 +40,20 @@
 from .peering import Peering
 from .ports import Cancellation
 
-#: Boxes that are told of an engine's end, and decide together whether a suspect runs.
+#: Number of boxes that receive an engine's end and decide together whether a suspect runs.
 OWNERS = 2
-#: Slack for an answer on its way from one thread to another, in seconds.
+#: Time for a reply to pass from one thread to another, in seconds.
 SLACK_SECONDS = 0.1
-#: A copy waits so long for the run that goes on elsewhere, looking so often.  In seconds.
+#: Maximum wait of a copy for a run at another box, in seconds.
 WAIT_SECONDS = 1.0
+#: Interval between the checks while a copy waits, in seconds.
 LOOK_SECONDS = 0.05
-#: A caller that was told that its request runs elsewhere may ask again after this.
+#: When a caller whose request runs elsewhere may retry, in seconds.
 RETRY_AFTER_SECONDS = 1.0
 
 
 class Trials:
-    """What request threads ask and tell about requests that end engines."""
+    """The interface of request threads to the quarantine of requests that end engines."""
 
     def __init__(
         self,
@@ -73,7 +74,7 @@
         self._lock = threading.Lock()
 
     def ended_well(self, identity: RequestIdentity) -> None:
-        """An engine answered a request."""
+        """Record that an engine answered a request."""
         now = self._environment.monotonic()
         with self._lock:
             self._recent.ended_well(identity, now)
@@ -81,7 +82,7 @@
             self._clear(identity.digest)
 
     def _clear(self, request: str) -> None:
-        """A run that began before its request was a suspect ended well."""
+        """Clear a suspect request of which a run that began earlier has succeeded."""
         here = self._decider.ask(WantStanding(request, '')).result()
         if here.verdict is not Verdict.RUN:
             self.over(request, '', well=True)
@@ -92,20 +93,20 @@
             return self._recent.excuses(identity, now)
 
     def catch_up(self) -> None:
-        """Hear what others met while this box was held up, before anything runs."""
+        """Receive the peers' cases first if this box was suspended, before anything runs."""
         self._peering.catching_up.wait()
 
     def is_watched(self, identity: RequestIdentity) -> bool:
-        """Whether requests of this scope may not simply run."""
+        """Whether this request's scope contains requests that need permission to run."""
         scopes = self._decider.cases.scopes
         return bool(scopes) and identity.scope in scopes
 
     def permit(
         self, ask: TrialAsk, service: str, patience: float, cancellation: Cancellation
     ) -> bool:
-        """Whether a request that may run runs alone; waits `patience` seconds for its turn.
+        """Wait at most `patience` seconds for permission; return whether the request runs alone.
 
-        Raises RequestQuarantined, RequestOnTrial or CallerLeft where it may not run.
+        Raises RequestQuarantined, RequestOnTrial or CallerLeft if it may not run.
         """
         ends = self._environment.monotonic() + patience
         if self._cases.misses_boxes():
@@ -123,7 +124,8 @@
                 raise CallerLeft('the caller closed its connection')
             if is_late:
                 raise RequestOnTrial(
-                    'it may only run alone, and does or cannot now', RETRY_AFTER_SECONDS
+                    'it may only run alone, and already runs or cannot run now',
+                    RETRY_AFTER_SECONDS,
                 )
             self._environment.sleep(LOOK_SECONDS)
 
@@ -146,10 +148,11 @@
         return self._decider.ask(AskTrial(ask)).result()
 
     def _owner_says(self, client: PeerClient | None, ask: TrialAsk) -> Permission | None:
-        """What one of the boxes that decide says, None where that tells nothing.
+        """Return the permission of one owner, None if the owner cannot decide.
 
-        One that is slow may have let another run begin, and one that has not heard of the ends
-        yet cannot know who runs it: to pass them over at once ended an engine more at each box.
+        An owner that is slow may have granted another run, and one that has not received
+        the ends yet does not know of a run.  Skipping these owners at once let each box
+        end one more engine.
         """
         if client is None:
             return self._decider.ask(AskTrial(ask)).result()
@@ -157,15 +160,15 @@
         return None if answer is None or answer.verdict is Verdict.RUN else answer
 
     def check_proof(self, request: str) -> None:
-        """Raise RequestQuarantined where another end has proven a request by now."""
+        """Raise RequestQuarantined if the request is quarantined by now."""
         here = self._decider.ask(WantStanding(request, '')).result()
         if here.verdict is Verdict.REFUSE:
             raise RequestQuarantined('engines ended under it', here.rest)
 
     def ended(self, identity: RequestIdentity, placed: Placed, on_trial: bool, wanted: bool) -> int:
-        """An engine ended under a call; how many have under its request.
+        """Record that an engine ended under a call; return the number of ends of its request.
 
-        Where the number is not `wanted` nobody waits for the box that joins them.
+        If the number is not `wanted` this does not wait for the owners.
         """
         excused = not on_trial and self._is_excused(identity)
         if excused:
@@ -188,10 +191,11 @@
         return max(counted.ends, told)
 
     def _tell_owners(self, report: EndReport, wanted: bool) -> int | None:
-        """How many ends the first box that can be reached knows; None if one could not be.
+        """Send an end to the owners; return the number of ends that the first one knows.
 
-        It is waited for where the number is `wanted`, else 0 stands for it.  The other is
-        told as well: where it cannot be reached the store tells what that side knows.
+        Returns None if an owner before the first one that answered could not be reached.
+        Waits for a number only if it is `wanted`, else returns 0.  The other owner receives
+        the end in the background; if it cannot be reached, the store has what its side knows.
         """
         told = None if wanted else 0
         missed = False
@@ -213,14 +217,14 @@
             self._cases.join_soon(report.request)
 
     def _suspect_ends(self, request: str) -> int:
-        """So many ends as make a suspect, where the request is one by now, else none."""
+        """Return SUSPECT_ENDS if the request is a suspect or quarantined by now, else 0."""
         here = self._decider.ask(WantStanding(request, '')).result()
         return 0 if here.verdict is Verdict.RUN else SUSPECT_ENDS
 
     async def _tell_end(self, client: PeerClient, report: EndReport) -> int:
-        """Tell of an end, and take over at once what others met before.
+        """Send an end to a peer, merge the peer's case, and return the peer's number of ends.
 
-        Until it hears by digests this box would let copies run that others know of.
+        With digests alone this box would let copies run until the next digest arrives.
         """
         known = await client.engine_ended(report)
         if known.case is not None:
@@ -228,7 +232,7 @@
         return known.ends
 
     def over(self, request: str, run: str, well: bool) -> None:
-        """A run that was alone is over; `well` tells that its engine answered it."""
+        """Report the end of a run to the owners; `well` means that an engine answered it."""
         over = TrialOver(request, run, well)
         self._decider.send(EndTrial(over))
         for client in self._owners(request):
@@ -236,14 +240,14 @@
                 self._peering.submit(self._tell(client.end_trial(over)))
 
     def _owners(self, request: str) -> Iterator[PeerClient | None]:
-        """The boxes that decide on a request, in their order; None for this one."""
+        """Yield the owners of a request in rank order; None stands for this box."""
         for name in owners(request, self._peering.roster.heard_boxes, OWNERS):
             client = None if name == self._box else self._peering.client(name)
             if client is not None or name == self._box:
                 yield client
 
     def _answer(self, work: Coroutine, seconds: float) -> object | None:
-        """What a peer answers, None if it does not within `seconds`."""
+        """Return a peer's reply, None if there is none within `seconds`."""
         future: Future = self._peering.submit(work)
         try:
             return future.result(seconds + SLACK_SECONDS)
@@ -253,7 +257,7 @@
             return None
 
     async def _tell(self, work: Coroutine) -> None:
-        """Tell a peer; one that is away hears of it from the others."""
+        """Await a message to a peer; an unreachable peer learns of it from the others."""
         try:
             await work
         except BROKEN:
--- a/tests/test_case_store.py
+++ b/tests/test_case_store.py
@@ -1,4 +1,4 @@
-"""What the platform's store keeps of requests that end engines, and for how long."""
+"""Stored cases of requests that end engines: what is written and when it is removed."""
 
 import testtools
 
@@ -19,13 +19,13 @@
 
 
 def proven(request: str) -> Case:
-    """A request under which three engines ended, the last of them just now."""
+    """Return the case of a request under which three engines ended, 10 s to 30 s ago."""
     ends = tuple(EngineEnd(number, number == 1, 10.0 * number) for number in range(1, 4))
     return Case(request, 7, 'kitchen', ends)
 
 
 class TestCleaning(testtools.TestCase):
-    """Each request that ended engines left an object for ever, and each start read them all."""
+    """Without removal, objects of old cases accumulate, and each start of a box reads them."""
 
     def setUp(self):
         super().setUp()
@@ -42,14 +42,14 @@
         return [item.name for item in self.store.list(ObjectKind.QUARANTINE).objects]
 
     def clean_at(self, unix_time: float) -> None:
-        """Each box has its turn to clean."""
+        """Run the removal at each box."""
         for box in BOXES:
             decider = Decider(Router(box, 'start'), lambda: 0.0)
             CaseStore(
                 box, self.store, decider, lambda: ROSTER, lambda: unix_time, Metrics()
             ).clean()
 
-    def test_what_is_long_over_is_removed_by_one_box(self):
+    def test_an_expired_case_is_removed_by_one_box(self):
         self.keep('old')
         before = self.store.calls.copy()
         self.clean_at(KEPT_SECONDS - 11.0)
@@ -58,7 +58,7 @@
         self.clean_at(KEPT_SECONDS)
         self.assertEqual([], self.kept())
 
-    def test_the_task_goes_on_where_a_box_forgot_the_request_meanwhile(self):
+    def test_the_task_continues_after_a_case_was_dropped_during_its_write(self):
         self.keep('dropped')
         decider = Decider(Router('box-1', 'start'), lambda: 0.0)
         cases = CaseStore('box-1', self.store, decider, lambda: ROSTER, lambda: 0.0, Metrics())
@@ -71,13 +71,13 @@
         cases.join('kept')
         self.assertEqual(['dropped', 'kept'], sorted(self.kept()))
 
-    def test_what_another_wrote_there_stays(self):
+    def test_an_unreadable_object_stays(self):
         item = to_object(proven('odd'), 0.0)
         self.store.put(ObjectKind.QUARANTINE, type(item)('odd', {'scope': 'x'}))
         self.clean_at(KEPT_SECONDS)
         self.assertEqual(['odd'], self.kept())
 
-    def test_one_that_changed_meanwhile_stays(self):
+    def test_an_object_that_changed_since_it_was_read_stays(self):
         self.keep('changed')
         (item,) = self.store.list(ObjectKind.QUARANTINE).objects
         self.keep('changed', item.version)
--- a/tests/test_engine_uses.py
+++ b/tests/test_engine_uses.py
@@ -1,4 +1,4 @@
-"""What operators are told of engines that get no new work."""
+"""Logs and gauges of engines that get no new calls."""
 
 import io
 import json
@@ -43,13 +43,13 @@
         self.assertEqual(1, use.used)
         self.assertEqual(dict.fromkeys(UnusedReason, 1), use.unused)
 
-    def test_suspects_that_serve_since_nobody_else_does_are_in_use(self):
+    def test_suspects_that_serve_for_lack_of_other_engines_are_in_use(self):
         view = view_of(Phase.LIVE)
         view.failed('e0', 0.0)
         self.assertEqual((1, {}), (view.use(SERVICE, 0.1).used, view.use(SERVICE, 0.1).unused))
 
 
-class TestTelling(testtools.TestCase):
+class TestEngineUseReports(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.logs = io.StringIO()
@@ -60,7 +60,7 @@
     def note(self, *phases: Phase) -> None:
         self.uses.note([view_of(*phases).use(SERVICE, 0.0)])
 
-    def test_a_service_is_told_once_when_more_than_a_third_is_unused_and_once_after(self):
+    def test_a_service_is_logged_once_above_a_third_unused_and_once_when_below_again(self):
         for _ in range(2):
             self.note(Phase.LEAVING, Phase.LEAVING, Phase.LIVE)
         self.note(Phase.LEAVING, Phase.LIVE, Phase.LIVE)
--- a/tests/test_stack.py
+++ b/tests/test_stack.py
@@ -1,4 +1,4 @@
-"""The stack that tests run against ends with them."""
+"""The stack that tests run against stops completely."""
 
 import threading
 
@@ -8,15 +8,15 @@
 
 
 def lasting_threads() -> set[threading.Thread]:
-    """Threads that would keep this process from ending."""
+    """Return the threads that would keep this process from exiting."""
     return {thread for thread in threading.enumerate() if not thread.daemon}
 
 
 class TestStack(testtools.TestCase):
-    def test_a_stack_that_cuts_a_call_leaves_no_thread_behind(self):
+    def test_a_stack_that_stops_during_a_call_leaves_no_thread(self):
         before = lasting_threads()
         stack = Stack()
-        # As if the last answer were out and its call not yet counted as over.
+        # Simulates a call whose answer was sent but that is not yet counted as ended.
         stack.box.gate.enter()
         stack.close()
         self.assertEqual(set(), lasting_threads() - before)
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks: who handles a message, and how seldom a task at rest wakes."""
+"""Tasks: which thread handles a message, and how often an unused task wakes."""
 
 import threading
 import time
@@ -19,14 +19,14 @@
 
 
 class Add(Ask):
-    """Asks for the sum so far; `then` is sent before it is answered."""
+    """Adds a number and asks for the sum; `then` is sent before the reply."""
 
     number: int
     then: 'Add | None' = None
 
 
 class Sum(SerialTask):
-    """Adds numbers and notes who handled what."""
+    """Adds numbers and records which thread handled which message."""
 
     name = 'sum'
 
@@ -58,7 +58,7 @@
 
 
 class Slow(Task):
-    """Answers when it is let."""
+    """Replies only after `may_answer` is set."""
 
     name = 'slow'
 
@@ -73,10 +73,10 @@
 
 
 class TestTask(testtools.TestCase):
-    def test_an_asker_that_gives_up_does_not_end_it(self):
-        # A peer broke off while it asked a box for newer settings, and the box took no
-        # settings any more: the answer to a question that was withdrawn raised in the task's
-        # thread, which ended.  Seen once, in the log of a test of something else.
+    def test_a_cancelled_query_does_not_end_the_task(self):
+        # A peer cancelled its call while it pulled newer settings from a box.  Setting the
+        # reply of the cancelled query raised an error that ended the task's thread, and the
+        # box accepted no more settings.
         task = Slow()
         task.start()
         self.addCleanup(task.stop)
@@ -93,45 +93,45 @@
         self.task.start()
         self.addCleanup(self.task.stop)
 
-    def test_a_message_is_handled_by_the_thread_that_brings_it(self):
+    def test_a_message_is_handled_by_the_thread_that_sends_it(self):
         answer = self.task.ask(Add(2))
         self.assertTrue(answer.done())
         self.assertEqual(2, answer.result())
         self.assertEqual([threading.current_thread()], self.task.threads)
 
-    def test_what_a_handler_sends_to_its_own_task_comes_after_it(self):
+    def test_a_message_from_a_handler_to_its_own_task_is_handled_after_it(self):
         self.task.send(Add(1, then=Add(2)))
         self.assertEqual([1, 2], self.task.order)
 
     def test_messages_of_many_threads_are_handled_one_at_a_time(self):
-        def bring():
+        def send_all():
             for _ in range(500):
                 self.task.send(Add(1))
 
-        threads = [threading.Thread(target=bring) for _ in range(8)]
+        threads = [threading.Thread(target=send_all) for _ in range(8)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join(WAIT_SECONDS)
         self.assertEqual(4001, self.task.ask(Add(1)).result(WAIT_SECONDS))
 
-    def test_a_message_that_fails_fails_its_asker_alone(self):
+    def test_a_handler_error_fails_only_its_own_query(self):
         answer = self.task.ask(Add('none'))
         self.assertRaises(TypeError, answer.result)
         self.assertEqual(1, self.task.ask(Add(1)).result())
 
-    def test_time_passes_only_when_something_is_due(self):
+    def test_idle_is_called_only_when_it_is_due(self):
         self.task.send(Add(1))
         self.assertFalse(self.task.woken.wait(2 * PATIENCE_SECONDS))
         self.task.due_in = PATIENCE_SECONDS
-        # The thread of the task sleeps without an end: a message brings it to look.
+        # The task's thread sleeps without a timeout: a message makes it compute a new one.
         self.task.send(Add(1))
         self.assertTrue(self.task.woken.wait(WAIT_SECONDS))
         self.assertEqual(1, self.task.idles)
 
 
 class TestDeciderAtRest(testtools.TestCase):
-    """How often the decider wakes, counted by its looks at the routing state."""
+    """How often the decider wakes, counted by ticks of the router."""
 
     def setUp(self):
         super().setUp()
@@ -149,18 +149,18 @@
         self.router.tick = tick
 
     def pass_time(self, seconds: float) -> None:
-        """Let the clock jump from one due moment to the next."""
+        """Advance the clock from one due time to the next."""
         ends = self.now + seconds
         while self.now + self.decider.patience() < ends:
             self.now += self.decider.patience()
             self.decider.idle()
         self.now = ends
 
-    def test_a_box_at_rest_looks_around_twice_a_second(self):
+    def test_an_unused_box_checks_its_state_twice_a_second(self):
         self.pass_time(10.0)
         self.assertLessEqual(self.ticks, 10 / LOOK_SECONDS + 1)
 
-    def test_a_call_that_waits_is_looked_at_when_its_wait_ends(self):
+    def test_a_queued_call_is_checked_when_its_wait_ends(self):
         self.router.set_engines([Engine('e', 's', 'e:1', slots=1)], 0.0)
         self.pass_time(1.2)
         placed = self.decider.ask(Admit(Call('one', 'w', 's', 'chat', Work(1, 1), 60.0)))
@@ -170,7 +170,7 @@
         self.pass_time(1.0)
         self.assertTrue(waiting.done())
 
-    def test_an_engine_that_is_late_is_noticed_in_time(self):
+    def test_an_engine_that_is_late_is_detected_in_time(self):
         self.router.set_engines([Engine('e', 's', 'e:1')], 0.0)
         self.pass_time(1.0)
         call = Call('one', 'w', 's', 'chat', Work(1, 1), 60.0, objective=0.15)
@@ -179,7 +179,7 @@
         self.pass_time(0.31)
         self.assertEqual({'e': 1}, self.router.health.failures.own(self.now))
 
-    def test_time_that_passed_counts_with_the_next_message(self):
+    def test_the_next_message_after_the_due_time_causes_a_tick(self):
         before = self.ticks
         self.now += LOOK_SECONDS
         self.decider.ask(WantReport()).result()
@@ -189,7 +189,7 @@
 
 
 class TestSleep(testtools.TestCase):
-    def test_a_task_without_anything_due_sleeps(self):
+    def test_a_task_with_nothing_due_sleeps_without_a_timeout(self):
         task = Sum()
         waits = []
         waiting = task._alarm.wait
--- a/tests/utils/stack.py
+++ b/tests/utils/stack.py
@@ -1,4 +1,4 @@
-"""One box and its stand-ins inside the test's own process."""
+"""One box, a platform, an engine and a service in the process of the test."""
 
 import io
 import time
@@ -48,12 +48,12 @@
 
 
 def free_address() -> str:
-    """A loopback address that nobody listens on now."""
+    """Return a loopback address with a free port."""
     return f'{HOST}:{free_port()}'
 
 
 class Stack:
-    """A platform, an engine, a plain service and a box, all listed."""
+    """A platform, a box, and an engine and a plain service that the platform lists."""
 
     def __init__(self, threads: int = 16, tree: dict | None = None):
         self.logs = io.StringIO()
@@ -94,23 +94,23 @@
             time.sleep(0.02)
 
     def post(self, path: str, body, **headers: str) -> urllib3.BaseHTTPResponse:
-        """POST JSON, or bytes as they are, with the workspace's key."""
+        """Send a POST of JSON, or of raw bytes, with the workspace's key."""
         values = {'Authorization': f'Bearer {KEY}'} | headers
         if isinstance(body, bytes):
             return self.http.request('POST', self.url + path, body=body, headers=values)
         return self.http.request('POST', self.url + path, json=body, headers=values)
 
     def chat(self, **extra) -> dict:
-        """The body of a small chat call."""
+        """Return the body of a small chat call."""
         messages = [{'role': 'user', 'content': 'hello'}]
         return {'model': MODEL, 'messages': messages, 'max_tokens': 2} | extra
 
     def close(self) -> None:
-        """Stop all of it."""
+        """Stop the box, the platform, the engine and the service."""
         self.box.ask_stop()
         self.box.ask_stop()
         if self.box.wait():
-            # A process would end here with the calls it cut; a test goes on.
+            # A box process would exit here with calls in progress; a test continues.
             self.box._shut()
         for server in (self.platform, self.engine, self.service):
             server.stop()
