--- a/packages/router/seamhold/budgets.py
+++ b/packages/router/seamhold/budgets.py
@@ -23,7 +23,7 @@
         with self._lock:
             self._control = control
 
-    def first_attempt(self, service: str) -> None:
+    def record_first_attempt(self, service: str) -> None:
         """Record the first attempt of a call of `service`."""
         with self._lock:
             self._budget(service).first_attempt(self._clock())
--- a/packages/router/seamhold/desk.py
+++ b/packages/router/seamhold/call_handler.py
@@ -21,19 +21,19 @@
 from seamhold_settings.schema import PlatformOutage
 
 from . import headers as names
-from .callers import Incoming, Prepared, prepare
+from .callers import IncomingRequest, PreparedRequest, prepare
 from .claims import ClaimWriter
 from .context import Environment
 from .engines import REQUEST_ID_HEADER
-from .guards import ClaimGuard, Guard, OpenGuard, TicketGuard
+from .guards import ClaimGuard, Guard, NullGuard, TicketGuard
 from .job import Job
-from .keeper import SettingsKeeper
 from .metrics import Metrics
 from .peer_calls import PeerCalls
 from .ports import Answer
 from .problems import problem_event
 from .runner import Runner
-from .tickets import MintTickets, TicketDesk
+from .settings_task import SettingsTask
+from .tickets import IssueTickets, TicketTask
 
 #: Maximum wait for a claim to be written, in seconds.
 CLAIM_SECONDS = 2.0
@@ -41,16 +41,16 @@
 TASK_SECONDS = 5.0
 
 
-class CallDesk:
+class CallHandler:
     """Validates requests, guards them against a second run, and runs or relays them."""
 
     def __init__(
         self,
         box: str,
         incarnation: str,
-        keeper: SettingsKeeper,
+        settings_task: SettingsTask,
         runner: Runner,
-        tickets: TicketDesk,
+        tickets: TicketTask,
         claims: ClaimWriter,
         peers: PeerCalls,
         environment: Environment,
@@ -58,7 +58,7 @@
     ):
         self._box = box
         self._incarnation = incarnation
-        self._keeper = keeper
+        self._settings_task = settings_task
         self._runner = runner
         self._tickets = tickets
         self._claims = claims
@@ -69,18 +69,18 @@
     @property
     def tree(self):
         """The settings in force; raises NotReady before there are any."""
-        snapshot = self._keeper.snapshot
+        snapshot = self._settings_task.snapshot
         if not snapshot.ready:
             raise NotReady('this box has no settings yet', 1.0)
         return snapshot.tree
 
-    def mint(self, workspace: str, count: int) -> list[str]:
+    def issue_tickets(self, workspace: str, count: int) -> list[str]:
         """Return `count` new tickets of this box."""
         lifetime = self.tree.fleet.control.ticket_seconds
-        message = MintTickets(workspace, count, lifetime)
-        return self._tickets.ask(message).result(TASK_SECONDS)
+        message = IssueTickets(workspace, count, lifetime)
+        return self._tickets.query(message).result(TASK_SECONDS)
 
-    def answer(self, incoming: Incoming) -> Answer:
+    def answer(self, incoming: IncomingRequest) -> Answer:
         """Return the answer to a request from the entry port."""
         prepared = prepare(self.tree, incoming, self._environment.monotonic())
         if not prepared.ticket:
@@ -110,11 +110,11 @@
         else:
             yield AnswerEnd()
 
-    def _prepare_relayed(self, relayed: RelayedCall) -> Prepared:
+    def _prepare_relayed(self, relayed: RelayedCall) -> PreparedRequest:
         headers = {header.name: header.value for header in relayed.headers}
         headers[names.TICKET] = relayed.ticket
         headers[names.TIMEOUT] = str(relayed.remaining)
-        incoming = Incoming(
+        incoming = IncomingRequest(
             relayed.request_id,
             relayed.workspace,
             relayed.method,
@@ -128,20 +128,20 @@
             raise TicketUnknown('the box that held the ticket has restarted')
         return prepared
 
-    def _run(self, prepared: Prepared) -> Answer:
+    def _run(self, prepared: PreparedRequest) -> Answer:
         rule = RetryRule(prepared.repeatable, prepared.route.policy.retries)
         job = Job(prepared.call, prepared.request, rule, self._guard(prepared), prepared.streamed)
         answer = self._runner.run(job)
-        headers = names.towards_caller(answer.headers.items())
+        headers = names.headers_for_caller(answer.headers.items())
         headers[REQUEST_ID_HEADER] = prepared.call.id
         headers[names.SERVED_BY] = f'{answer.placed.engine}; rank={answer.placed.rank}'
         headers[names.CHAT_HINT] = hint_for(answer.placed.engine)
         answer.headers = headers
         if not isinstance(answer.body, bytes):
-            answer.body = self._with_problem(answer.body, prepared.call.id)
+            answer.body = self._append_problem(answer.body, prepared.call.id)
         return answer
 
-    def _with_problem(self, body: Iterator[bytes], request_id: str) -> Iterator[bytes]:
+    def _append_problem(self, body: Iterator[bytes], request_id: str) -> Iterator[bytes]:
         """Yield a stream; if it fails, append a problem event before the error."""
         try:
             yield from body
@@ -150,32 +150,36 @@
             yield problem_event(error, request_id)
             raise
 
-    def _guard(self, prepared: Prepared) -> Guard:
+    def _guard(self, prepared: PreparedRequest) -> Guard:
         call = prepared.call
         if prepared.ticket:
             ticket = parse_ticket(prepared.ticket)
             return TicketGuard(self._tickets, ticket, call.workspace, prepared.body_hash)
         if prepared.repeatable or not prepared.idempotency_key:
-            return OpenGuard()
+            return NullGuard()
         key = claim_key(call.workspace, call.service, prepared.idempotency_key)
         bucket = claim_bucket_of(key, self.tree.fleet.control.claim_buckets)
         owner = f'{self._incarnation}:{call.id}'
         remaining = call.deadline - self._environment.monotonic()
-        ask = ClaimAsk(bucket, key, owner, prepared.body_hash, min(CLAIM_SECONDS, remaining))
+        claim_request = ClaimAsk(
+            bucket, key, owner, prepared.body_hash, min(CLAIM_SECONDS, remaining)
+        )
         outage = prepared.route.policy.platform_outage
         return ClaimGuard(
-            ask,
+            claim_request,
             self._peers.claim,
             self._claims,
             self._metrics,
             outage is PlatformOutage.RUN_UNCLAIMED,
         )
 
-    def _relay(self, incoming: Incoming, prepared: Prepared, ticket: TicketName) -> Answer:
+    def _relay(
+        self, incoming: IncomingRequest, prepared: PreparedRequest, ticket: TicketName
+    ) -> Answer:
         """Relay a request to the box that holds its ticket."""
         self._metrics.count('relayed')
         remaining = prepared.call.deadline - self._environment.monotonic()
-        headers = names.towards_engine(incoming.headers)
+        headers = names.headers_for_engine(incoming.headers)
         for name in (names.ROUTE, names.CHAT, names.CHAT_HINT):
             if name in incoming.headers:
                 headers[name] = incoming.headers[name]
--- a/packages/router/seamhold/callers.py
+++ b/packages/router/seamhold/callers.py
@@ -31,10 +31,10 @@
 BODY_MAX_BYTES = 64 * 1024 * 1024
 KEY_MAX_CHARS = 255
 FIRST_MESSAGES = 2
-HINT_FORM = re.compile('[0-9a-f]{8}')
+HINT_PATTERN = re.compile('[0-9a-f]{8}')
 
 
-class Incoming(Struct, frozen=True):
+class IncomingRequest(Struct, frozen=True):
     """A caller's request, from the entry port or relayed by a peer."""
 
     id: str
@@ -45,7 +45,7 @@
     body: bytes
 
 
-class Prepared(Struct, frozen=True):
+class PreparedRequest(Struct, frozen=True):
     """A request that was parsed and checked against the settings in force."""
 
     call: Call
@@ -67,15 +67,15 @@
     """Return the workspace of a bearer key; raises Unauthorized."""
     if not authorization.lower().startswith(BEARER):
         raise Unauthorized('send "Authorization: Bearer KEY"')
-    wanted = hash_key(authorization[len(BEARER) :].strip())
-    found = [name for name, space in tree.workspaces.items() if wanted in space.keys]
+    key_hash = hash_key(authorization[len(BEARER) :].strip())
+    found = [name for name, space in tree.workspaces.items() if key_hash in space.keys]
     # A key in two workspaces would let one of them act as the other.
     if len(found) != 1:
         raise Unauthorized('this key names no workspace')
     return found[0]
 
 
-def prepare(tree: Tree, incoming: Incoming, now: float) -> Prepared:
+def prepare(tree: Tree, incoming: IncomingRequest, now: float) -> PreparedRequest:
     """Parse a chat or a plain call; raises a SeamholdError that the caller has to fix."""
     if incoming.path == CHAT_PATH:
         return _chat(tree, incoming, now)
@@ -94,7 +94,7 @@
     return value
 
 
-def _chat(tree: Tree, incoming: Incoming, now: float) -> Prepared:
+def _chat(tree: Tree, incoming: IncomingRequest, now: float) -> PreparedRequest:
     value = _json_object(incoming.body)
     model = value.get('model')
     messages = value.get('messages')
@@ -114,13 +114,13 @@
     return _prepared(incoming, call, request, route, value.get('stream') is True)
 
 
-def _plain(tree: Tree, incoming: Incoming, now: float) -> Prepared:
+def _plain(tree: Tree, incoming: IncomingRequest, now: float) -> PreparedRequest:
     service, _, rest = incoming.path.removeprefix(SERVICES_PREFIX).partition('/')
     name = service.partition('?')[0]
     route = resolve(tree, incoming.workspace, name, rest.partition('?')[0])
     if route is None or route.kind is not ServiceKind.PLAIN:
         raise UnknownService(f'this workspace has no service {name!r}')
-    sent_headers = names.towards_engine(incoming.headers)
+    sent_headers = names.headers_for_engine(incoming.headers)
     sent_headers[names.WORKSPACE] = incoming.workspace
     path = f'/{rest}'
     request = EngineRequest(incoming.id, incoming.method, path, sent_headers, incoming.body)
@@ -130,7 +130,7 @@
     return _prepared(incoming, call, request, route, False)
 
 
-def _route_name(incoming: Incoming) -> str:
+def _route_name(incoming: IncomingRequest) -> str:
     return incoming.headers.get(names.ROUTE, '')
 
 
@@ -145,16 +145,20 @@
     return hashlib.sha256(text.encode()).hexdigest()
 
 
-def _tokens(value: dict, incoming: Incoming, route: ResolvedRoute) -> int:
+def _tokens(value: dict, incoming: IncomingRequest, route: ResolvedRoute) -> int:
     """Return the expected work in tokens, estimated before dispatch."""
-    asked = value.get('max_completion_tokens') or value.get('max_tokens')
-    if asked is not None and (not isinstance(asked, int) or isinstance(asked, bool) or asked < 1):
+    requested = value.get('max_completion_tokens') or value.get('max_tokens')
+    if requested is not None and (
+        not isinstance(requested, int) or isinstance(requested, bool) or requested < 1
+    ):
         raise BadRequest('"max_tokens" must be an integer above 0')
-    output = asked or route.policy.expected_output_tokens
+    output = requested or route.policy.expected_output_tokens
     return len(incoming.body) // BYTES_PER_TOKEN + output
 
 
-def _call(incoming: Incoming, route: ResolvedRoute, chat: str, work: Work, now: float) -> Call:
+def _call(
+    incoming: IncomingRequest, route: ResolvedRoute, chat: str, work: Work, now: float
+) -> Call:
     if len(incoming.body) > route.policy.max_body_bytes:
         raise BodyTooLarge(f'this route accepts at most {route.policy.max_body_bytes} bytes')
     return Call(
@@ -169,29 +173,33 @@
     )
 
 
-def _timeout(incoming: Incoming, most: float) -> float:
+def _timeout(incoming: IncomingRequest, limit: float) -> float:
     """Return the timeout in seconds: the caller's can only shorten the route's."""
     text = incoming.headers.get(names.TIMEOUT)
     if not text:
-        return most
+        return limit
     try:
-        asked = float(text)
+        requested = float(text)
     except ValueError:
-        asked = math.nan
-    if not math.isfinite(asked) or asked <= 0:
+        requested = math.nan
+    if not math.isfinite(requested) or requested <= 0:
         raise BadRequest(f'{names.TIMEOUT} must be a number of seconds above 0')
-    return min(asked, most)
+    return min(requested, limit)
 
 
-def _hint(incoming: Incoming) -> str:
+def _hint(incoming: IncomingRequest) -> str:
     """Return the chat hint, '' if there is none or it is invalid."""
     text = incoming.headers.get(names.CHAT_HINT, '')
-    return text if HINT_FORM.fullmatch(text) else ''
+    return text if HINT_PATTERN.fullmatch(text) else ''
 
 
 def _prepared(
-    incoming: Incoming, call: Call, request: EngineRequest, route: ResolvedRoute, streamed: bool
-) -> Prepared:
+    incoming: IncomingRequest,
+    call: Call,
+    request: EngineRequest,
+    route: ResolvedRoute,
+    streamed: bool,
+) -> PreparedRequest:
     key = incoming.headers.get(names.IDEMPOTENCY_KEY, '')
     if len(key) > KEY_MAX_CHARS:
         raise BadRequest(f'{names.IDEMPOTENCY_KEY} must have at most {KEY_MAX_CHARS} characters')
@@ -204,4 +212,4 @@
     body_hash = hashlib.sha256(
         f'{incoming.method}\0{incoming.path}\0'.encode() + incoming.body
     ).hexdigest()[:32]
-    return Prepared(call, request, route, repeatable, streamed, key, ticket, body_hash)
+    return PreparedRequest(call, request, route, repeatable, streamed, key, ticket, body_hash)
--- a/packages/router/seamhold/case_answers.py
+++ b/packages/router/seamhold/case_answers.py
@@ -7,7 +7,7 @@
 
 from .background import answer_of
 from .decider import Decider
-from .decisions import AskTrial, EndTrial, HearCases, HearEnd, WantCases
+from .decisions import EndTrial, GetCases, ReceiveCases, ReceiveEnd, RequestTrial
 
 
 class CaseAnswers:
@@ -18,22 +18,22 @@
 
     async def cases(self) -> CasesPage:
         """Return the cases that this box shares, and whether it has loaded all."""
-        complete = self._decider.cases.known.is_set()
-        cases = await asyncio.wrap_future(self._decider.ask(WantCases()))
+        complete = self._decider.cases.loaded.is_set()
+        cases = await asyncio.wrap_future(self._decider.query(GetCases()))
         return CasesPage(cases, complete)
 
     async def hear_cases(self, cases: tuple[Case, ...]) -> None:
         """Merge cases that a peer sends."""
-        await answer_of(self._decider.ask(HearCases(cases)))
+        await answer_of(self._decider.query(ReceiveCases(cases)))
 
     async def engine_ended(self, report: EndReport) -> EndsKnown:
         """Record an engine's end at a peer; return what this box knows of the request."""
-        return await asyncio.wrap_future(self._decider.ask(HearEnd(report)))
+        return await asyncio.wrap_future(self._decider.query(ReceiveEnd(report)))
 
-    async def ask_trial(self, ask: TrialAsk) -> Permission:
+    async def ask_trial(self, trial: TrialAsk) -> Permission:
         """Return whether a suspect request may run now at a peer."""
-        return await asyncio.wrap_future(self._decider.ask(AskTrial(ask)))
+        return await asyncio.wrap_future(self._decider.query(RequestTrial(trial)))
 
-    async def end_trial(self, over: TrialOver) -> None:
+    async def end_trial(self, result: TrialOver) -> None:
         """Record the end of a suspect request's run at a peer."""
-        self._decider.send(EndTrial(over))
+        self._decider.send(EndTrial(result))
--- a/packages/router/seamhold/case_keeper.py
+++ b/packages/router/seamhold/case_handlers.py
@@ -8,17 +8,17 @@
 from seamhold_routing import Router
 
 from .decisions import (
-    AskTrial,
     CaseReport,
     EndCounted,
     EndTrial,
     EngineEnded,
-    HearCases,
-    HearEnd,
+    GetCase,
+    GetCases,
+    GetStanding,
     LiftCase,
-    WantCase,
-    WantCases,
-    WantStanding,
+    ReceiveCases,
+    ReceiveEnd,
+    RequestTrial,
 )
 
 #: The verdict of a box on its own, by the standing of a request.
@@ -29,34 +29,34 @@
 }
 
 
-class CaseKeeper:
+class CaseHandlers:
     """Handlers of the decider's messages about requests that end engines.
 
-    `tell` is called when peers should receive a change.
+    `notify` is called when peers should receive a change.
     """
 
-    def __init__(self, router: Router, clock: Callable[[], float], log, tell: Callable[[], None]):
+    def __init__(self, router: Router, clock: Callable[[], float], log, notify: Callable[[], None]):
         self._router = router
         self._quarantine = router.quarantine
         self._clock = clock
         self._log = log
-        self._tell = tell
+        self._notify = notify
         #: Called with the digest of a request whose case an end or a run changed here.
-        self.on_case: Callable[[str], None] | None = None
+        self.on_case_changed: Callable[[str], None] | None = None
         #: Called with the case of such a request, to be sent to peers immediately.
         self.on_push: Callable[[Case], None] | None = None
-        #: Set when the cases were read at the start, or the read was given up.
-        self.known = threading.Event()
-        self.known.set()
+        #: Set when the cases were loaded at the start, or the wait for them was given up.
+        self.loaded = threading.Event()
+        self.loaded.set()
         self.handlers = {
             EngineEnded: self._engine_ended,
-            HearEnd: self._hear_end,
-            AskTrial: lambda message: self._quarantine.ask(message.ask, self._clock()),
+            ReceiveEnd: self._receive_end,
+            RequestTrial: lambda message: self._quarantine.ask(message.trial, self._clock()),
             EndTrial: self._end_trial,
-            WantStanding: self._standing,
-            WantCase: lambda message: self._quarantine.case(message.request, self._clock()),
-            WantCases: lambda _: self._quarantine.shared(self._clock()),
-            HearCases: self._hear_cases,
+            GetStanding: self._standing,
+            GetCase: lambda message: self._quarantine.case(message.request, self._clock()),
+            GetCases: lambda _: self._quarantine.shared(self._clock()),
+            ReceiveCases: self._receive_cases,
             LiftCase: self._lift_case,
         }
 
@@ -87,24 +87,24 @@
     def _engine_ended(self, message: EngineEnded) -> EndCounted:
         now = self._clock()
         report = self._router.engine_ended(message.engine, message.report, now)
-        self._tell()
+        self._notify()
         if report is None or message.excused:
             return EndCounted()
         ends = self._quarantine.ended(report, now)
-        self._note(report.request, ends)
+        self._record_ends(report.request, ends)
         return EndCounted(ends, report)
 
-    def _hear_end(self, message: HearEnd) -> EndsKnown:
+    def _receive_end(self, message: ReceiveEnd) -> EndsKnown:
         request = message.report.request
         ends = self._quarantine.ended(message.report, self._clock())
-        self._note(request, ends)
+        self._record_ends(request, ends)
         return EndsKnown(ends, self._quarantine.shared_case(request, self._clock()))
 
-    def _note(self, request: str, ends: int) -> None:
+    def _record_ends(self, request: str, ends: int) -> None:
         if ends >= SUSPECT_ENDS:
-            self._tell_case(request)
+            self._publish_case(request)
 
-    def _tell_case(self, request: str) -> None:
+    def _publish_case(self, request: str) -> None:
         """Log the standing of a request, and send its case to peers and the store."""
         now = self._clock()
         case = self._quarantine.shared_case(request, now)
@@ -118,35 +118,35 @@
             engines_ended=len(case.ends),
             clears=case.clears,
         )
-        if self.on_case is not None:
-            self.on_case(request)
+        if self.on_case_changed is not None:
+            self.on_case_changed(request)
         if self.on_push is not None:
             self.on_push(case)
-        self._tell()
+        self._notify()
 
     def _end_trial(self, message: EndTrial) -> None:
-        over = message.over
-        self._quarantine.over(over, self._clock())
-        if over.well:
-            self._tell_case(over.request)
+        result = message.result
+        self._quarantine.over(result, self._clock())
+        if result.well:
+            self._publish_case(result.request)
 
-    def _standing(self, message: WantStanding) -> Permission:
+    def _standing(self, message: GetStanding) -> Permission:
         now = self._clock()
         standing = self._quarantine.standing(message.request, now)
         if standing is Standing.SUSPECT and not self._may_risk(message, now):
             return Permission(Verdict.WAIT)
         return Permission(VERDICTS[standing], self._quarantine.rest(message.request, now))
 
-    def _may_risk(self, message: WantStanding, now: float) -> bool:
+    def _may_risk(self, message: GetStanding, now: float) -> bool:
         ended = self._quarantine.lately_ended(message.request, now)
         return self._router.may_risk(message.service, ended, now)
 
-    def _hear_cases(self, message: HearCases) -> None:
+    def _receive_cases(self, message: ReceiveCases) -> None:
         if self._quarantine.merge(message.cases, self._clock()):
-            self._tell()
+            self._notify()
 
     def _lift_case(self, message: LiftCase) -> bool:
-        known = self._quarantine.lift(message.request, self._clock())
-        if known:
-            self._tell_case(message.request)
-        return known
+        existed = self._quarantine.lift(message.request, self._clock())
+        if existed:
+            self._publish_case(message.request)
+        return existed
--- a/packages/router/seamhold/case_store.py
+++ b/packages/router/seamhold/case_store.py
@@ -23,7 +23,7 @@
 
 from .clock import boot_seconds
 from .decider import Decider
-from .decisions import DeciderReport, HearCases, WantCase
+from .decisions import DeciderReport, GetCase, ReceiveCases
 from .logs import logger
 from .metrics import Metrics
 from .ports import RemovableStore
@@ -36,7 +36,7 @@
 #: Maximum wait of a starting box for the first read, in seconds.
 FIRST_READ_SECONDS = 1.5
 #: Maximum wait for the store of a call whose engine ended, in seconds; the same as for a box.
-JOIN_SECONDS = 0.15
+SYNC_SECONDS = 0.15
 #: Maximum rate at which a box writes first ends, per second: an engine that ends by itself
 #: leaves one for each call that it held.  A request that is sent repeatedly is among the
 #: first of them.
@@ -91,7 +91,7 @@
     return Case(item.name, int(stored.scope, 16), stored.workspace, ends, stored.clears, age)
 
 
-class _Wanted(Struct, frozen=True):
+class _SyncRequest(Struct, frozen=True):
     """A request whose case is to be synchronized with the store; `done` is set afterwards."""
 
     request: str
@@ -120,14 +120,14 @@
         self._unix_time = unix_time
         self._metrics = metrics
         self._log = logger('case-store')
-        self._changed: queue.SimpleQueue[_Wanted | Stop] = queue.SimpleQueue()
+        self._pending: queue.SimpleQueue[_SyncRequest | Stop] = queue.SimpleQueue()
         self._stopped = threading.Event()
         now = boot_seconds()
         self._cleans_at = now + CLEAN_SECONDS
         self._first_ends = TokenBucket(FIRST_ENDS_PER_SECOND, FIRST_ENDS_PER_SECOND, now)
         self._thread = threading.Thread(target=self._run, name='case-store', daemon=True)
-        decider.cases.known.clear()
-        decider.cases.on_case = self.join_soon
+        decider.cases.loaded.clear()
+        decider.cases.on_case_changed = self.synchronize_soon
 
     def start(self) -> None:
         """Start to read and write."""
@@ -136,45 +136,45 @@
     def stop(self) -> None:
         """Stop reading and writing."""
         self._stopped.set()
-        self._changed.put(Stop())
+        self._pending.put(Stop())
 
-    def misses_boxes(self) -> bool:
+    def has_missing_boxes(self) -> bool:
         """Whether a listed box is silent: it may be up and have cases that this box lacks."""
         return bool(self._roster().missing_boxes)
 
-    def join(self, request: str) -> None:
-        """Synchronize the case of a request with the store; wait at most JOIN_SECONDS.
+    def synchronize(self, request: str) -> None:
+        """Synchronize the case of a request with the store; wait at most SYNC_SECONDS.
 
         A slow store must not delay calls whose engine ended.
         """
         if self._decider.store_lost:
             return
-        wanted = _Wanted(request, threading.Event())
-        self._changed.put(wanted)
-        wanted.done.wait(JOIN_SECONDS)
+        pending = _SyncRequest(request, threading.Event())
+        self._pending.put(pending)
+        pending.done.wait(SYNC_SECONDS)
 
-    def join_soon(self, request: str) -> None:
+    def synchronize_soon(self, request: str) -> None:
         """Synchronize the case of a request with the store, without waiting."""
-        self._changed.put(_Wanted(request))
+        self._pending.put(_SyncRequest(request))
 
     def _run(self) -> None:
-        self._read_first()
+        self._read_until_loaded()
         while not self._stopped.is_set():
-            wanted = self._next()
-            if isinstance(wanted, Stop):
+            pending = self._next()
+            if isinstance(pending, Stop):
                 return
-            if wanted is None:
+            if pending is None:
                 self._try(self.clean)
-            elif not self._try(partial(self._write, wanted.request)):
-                self._changed.put(wanted)
+            elif not self._try(partial(self._write, pending.request)):
+                self._pending.put(pending)
                 self._stopped.wait(RETRY_SECONDS)
-            elif wanted.done is not None:
-                wanted.done.set()
+            elif pending.done is not None:
+                pending.done.set()
 
-    def _next(self) -> _Wanted | Stop | None:
+    def _next(self) -> _SyncRequest | Stop | None:
         """Return the next request or the stop message, None when it is time to clean."""
         try:
-            return self._changed.get(timeout=max(0.0, self._cleans_at - boot_seconds()))
+            return self._pending.get(timeout=max(0.0, self._cleans_at - boot_seconds()))
         except queue.Empty:
             self._cleans_at = boot_seconds() + CLEAN_SECONDS
             return None
@@ -184,7 +184,7 @@
 
         Each box reads all stored cases at its start, and nothing else removes them.
         """
-        if owners(CLEANER_KEY, self._roster().heard_boxes) != [self._box]:
+        if owners(CLEANER_KEY, self._roster().responsive_boxes) != [self._box]:
             return
         for item in self._store.list(ObjectKind.QUARANTINE).objects:
             if self._is_over(item) and self._try(partial(self._remove, item)):
@@ -201,20 +201,20 @@
         """Remove an object, unless another end has been written since it was read."""
         self._store.delete(ObjectKind.QUARANTINE, item.name, item.version)
 
-    def _read_first(self) -> None:
+    def _read_until_loaded(self) -> None:
         """Read all stored cases, and retry until that succeeds.
 
         A failed read does not mean that there are no cases: a box that served calls after
         one let copies run when the store came back.  If the store stays unavailable, the box
         serves calls after FIRST_READ_SECONDS.
         """
-        known = self._decider.cases.known
+        loaded = self._decider.cases.loaded
         serves_at = boot_seconds() + FIRST_READ_SECONDS
         while not self._stopped.is_set() and not self._try(self._read):
             if boot_seconds() >= serves_at:
-                known.set()
-            self._stopped.wait(RETRY_SECONDS if known.is_set() else FIRST_RETRY_SECONDS)
-        known.set()
+                loaded.set()
+            self._stopped.wait(RETRY_SECONDS if loaded.is_set() else FIRST_RETRY_SECONDS)
+        loaded.set()
 
     def _try(self, step: Callable[[], None]) -> bool:
         try:
@@ -225,9 +225,9 @@
         return True
 
     def _read(self) -> None:
-        self.take(self._store.list(ObjectKind.QUARANTINE).objects)
+        self.merge_objects(self._store.list(ObjectKind.QUARANTINE).objects)
 
-    def take(self, objects: list[PlatformObject]) -> None:
+    def merge_objects(self, objects: list[PlatformObject]) -> None:
         """Merge the cases in objects of the store; any thread may call it."""
         now = self._unix_time()
         cases = []
@@ -237,15 +237,15 @@
             except (ValueError, msgspec.ValidationError) as error:
                 self._log.warning('case.unreadable', digest=item.name, detail=str(error))
         if cases:
-            self._decider.ask(HearCases(tuple(cases))).result()
+            self._decider.query(ReceiveCases(tuple(cases))).result()
             self._log.info('cases.read', cases=len(cases))
 
     def _read_one(self, request: str) -> None:
         try:
-            held = self._store.get(ObjectKind.QUARANTINE, request)
+            stored = self._store.get(ObjectKind.QUARANTINE, request)
         except PlatformNotFound:
             return
-        self.take([held])
+        self.merge_objects([stored])
 
     def _write(self, request: str) -> None:
         case = self._case(request)
@@ -256,31 +256,31 @@
             self._store.put(ObjectKind.QUARANTINE, to_object(case, self._unix_time()))
             return
         except PlatformConflict:
-            held = self._store.get(ObjectKind.QUARANTINE, request)
+            stored = self._store.get(ObjectKind.QUARANTINE, request)
         # Merge first: the next write must not lose what another box wrote.
-        self.take([held])
+        self.merge_objects([stored])
         case = self._case(request)
         if case is None:
             # Dropped meanwhile to make room; the store keeps what another box wrote.
             return
-        item = to_object(case, self._unix_time(), held.version)
-        if not _tells_as_much(held, case):
+        item = to_object(case, self._unix_time(), stored.version)
+        if not _contains_case(stored, case):
             self._store.put(ObjectKind.QUARANTINE, item)
 
     def _may_write(self, case: Case) -> bool:
         return len(case.ends) >= SUSPECT_ENDS or self._first_ends.take(1, boot_seconds())
 
     def _case(self, request: str) -> Case | None:
-        return self._decider.ask(WantCase(request)).result()
+        return self._decider.query(GetCase(request)).result()
 
 
-def _tells_as_much(held: PlatformObject, case: Case) -> bool:
+def _contains_case(stored: PlatformObject, case: Case) -> bool:
     """Whether the stored object already contains all ends and clears of `case`."""
     try:
-        told = from_object(held, 0.0)
+        stored_case = from_object(stored, 0.0)
     except (ValueError, msgspec.ValidationError):
         return False
-    known = {(end.engine, end.on_trial) for end in told.ends}
-    return told.clears >= case.clears and all(
-        (end.engine, end.on_trial) in known for end in case.ends
+    stored_ends = {(end.engine, end.on_trial) for end in stored_case.ends}
+    return stored_case.clears >= case.clears and all(
+        (end.engine, end.on_trial) in stored_ends for end in case.ends
     )
--- a/packages/router/seamhold/cases_follower.py
+++ b/packages/router/seamhold/cases_follower.py
@@ -32,9 +32,9 @@
         cases: CaseStore,
         peering: Peering,
         metrics: Metrics,
-        chance: random.Random,
+        rng: random.Random,
     ):
-        super().__init__(store, metrics, chance)
+        super().__init__(store, metrics, rng)
         self._box = box
         self._cases = cases
         self._peering = peering
@@ -44,7 +44,7 @@
         roster = self._peering.roster
         if not roster.missing_boxes:
             return False
-        return owners(FOLLOWER_KEY, roster.heard_boxes) == [self._box]
+        return owners(FOLLOWER_KEY, roster.responsive_boxes) == [self._box]
 
     def wait_turn(self) -> None:
         """Wait until boxes are missing; if another box follows, until the next roster check.
@@ -58,9 +58,9 @@
 
     def listed(self, objects: list[PlatformObject]) -> None:
         """Merge all stored cases."""
-        self._cases.take(objects)
+        self._cases.merge_objects(objects)
 
     def changed(self, kind: WatchKind, item: PlatformObject) -> None:
         """Merge a case that was written."""
         if kind is not WatchKind.DELETED:
-            self._cases.take([item])
+            self._cases.merge_objects([item])
--- a/packages/router/seamhold/claims.py
+++ b/packages/router/seamhold/claims.py
@@ -18,7 +18,7 @@
 
 from .context import Environment
 from .metrics import Metrics
-from .tasks import Ask, Task
+from .tasks import Query, Task
 
 #: Pause after a write that failed, in seconds.
 RETRY_SECONDS = 0.05
@@ -27,10 +27,10 @@
 WRITES_PER_SECOND = 50
 
 
-class WantClaim(Ask):
+class AcquireClaim(Query):
     """Requests the ownership of a key for a call; the reply is a ClaimState."""
 
-    ask: ClaimAsk
+    request: ClaimAsk
     expires: float = 0.0
 
 
@@ -42,7 +42,7 @@
     owner: str
 
 
-class _Held(Struct):
+class _CachedBucket(Struct):
     """The cached copy of a bucket, as this box last read or wrote it."""
 
     bucket: ClaimBucket
@@ -72,20 +72,20 @@
         self._environment = environment
         self._metrics = metrics
         self._control = control
-        self._held: dict[int, _Held] = {}
-        self._waiting: dict[int, list[WantClaim]] = defaultdict(list)
+        self._cached: dict[int, _CachedBucket] = {}
+        self._waiting: dict[int, list[AcquireClaim]] = defaultdict(list)
         self._releases: dict[int, deque[ReleaseClaim]] = defaultdict(deque)
         self._next_write: dict[int, float] = {}
-        self.handlers = {WantClaim: self._want, ReleaseClaim: self._release}
+        self.handlers = {AcquireClaim: self._acquire, ReleaseClaim: self._release}
 
-    def patience(self) -> float | None:
+    def next_timeout(self) -> float | None:
         """Return the seconds until the next bucket may be written, None if none is due."""
         due = self._next_due()
         if due is None:
             return None
         return max(0.0, self._next_write.get(due, 0.0) - self._environment.monotonic())
 
-    def idle(self) -> None:
+    def on_timeout(self) -> None:
         """Write the bucket that is due."""
         due = self._next_due()
         if due is None:
@@ -96,39 +96,39 @@
 
     def _next_due(self) -> int | None:
         """Return the pending bucket with the earliest allowed write, None if none is pending."""
-        wanted = self._waiting.keys() | self._releases.keys()
-        return min(wanted, key=lambda number: self._next_write.get(number, 0.0), default=None)
+        buckets = self._waiting.keys() | self._releases.keys()
+        return min(buckets, key=lambda number: self._next_write.get(number, 0.0), default=None)
 
-    def _want(self, message: WantClaim) -> WantClaim:
-        message.expires = self._environment.monotonic() + message.ask.wait
-        self._waiting[message.ask.bucket].append(message)
+    def _acquire(self, message: AcquireClaim) -> AcquireClaim:
+        message.expires = self._environment.monotonic() + message.request.wait
+        self._waiting[message.request.bucket].append(message)
         return message
 
     def _release(self, message: ReleaseClaim) -> None:
         self._releases[message.bucket].append(message)
 
     def _write(self, number: int) -> None:
-        wanted = self._waiting.pop(number, [])
+        requests = self._waiting.pop(number, [])
         releases = self._releases.pop(number, deque())
         try:
-            states = self._settle(number, wanted, releases)
+            states = self._apply(number, requests, releases)
         except PlatformUnavailable as error:
-            self._put_back(number, wanted, error)
+            self._requeue(number, requests, error)
             self._environment.sleep(RETRY_SECONDS)
             return
-        for message, state in zip(wanted, states, strict=True):
+        for message, state in zip(requests, states, strict=True):
             self._metrics.count(f'claims.{state}')
             message.reply.set_result(state)
 
-    def _put_back(self, number: int, wanted: list[WantClaim], error: Exception) -> None:
+    def _requeue(self, number: int, requests: list[AcquireClaim], error: Exception) -> None:
         """Queue claims with time left again, and fail the others with ClaimsUnavailable.
 
         A write that failed may still have been stored.  Its claims carry their owners'
         tokens, by which the next read recognises them.
         """
-        self._held.pop(number, None)
+        self._cached.pop(number, None)
         now = self._environment.monotonic()
-        for message in wanted:
+        for message in requests:
             if message.expires > now:
                 self._waiting[number].append(message)
             else:
@@ -136,48 +136,48 @@
                 detail = f'the platform did not store the key: {error}'
                 message.reply.set_exception(ClaimsUnavailable(detail, 1.0))
 
-    def _settle(self, number: int, wanted: list[WantClaim], releases) -> list[ClaimState]:
+    def _apply(self, number: int, requests: list[AcquireClaim], releases) -> list[ClaimState]:
         """Add claims to the bucket, remove releases, and write it until no write conflicts.
 
         Returns the state of each claim.
         """
         while True:
-            held = self._held.get(number) or self._read(number)
-            bucket = ClaimBucket(held.bucket.claims)
+            cached = self._cached.get(number) or self._read(number)
+            bucket = ClaimBucket(cached.bucket.claims)
             now = self._environment.unix_time()
             bucket.forget(now - self._control().claim_seconds)
             for release in releases:
                 bucket.release(release.key, release.owner)
-            states = [bucket.ask(self._claim(message.ask, now)) for message in wanted]
-            if bucket.claims == held.bucket.claims:
+            states = [bucket.ask(self._claim(message.request, now)) for message in requests]
+            if bucket.claims == cached.bucket.claims:
                 return states
             try:
-                self._put(number, bucket, held.version)
+                self._put(number, bucket, cached.version)
             except PlatformConflict:
                 self._metrics.count('claims.conflicts')
-                self._held.pop(number, None)
+                self._cached.pop(number, None)
                 continue
             return states
 
     @staticmethod
-    def _claim(ask: ClaimAsk, now: float) -> Claim:
-        return Claim(ask.key, ask.owner, ask.body_hash, now)
+    def _claim(request: ClaimAsk, now: float) -> Claim:
+        return Claim(request.key, request.owner, request.body_hash, now)
 
     @staticmethod
     def _object_name(number: int) -> str:
         return f'bucket-{number:03d}'
 
-    def _read(self, number: int) -> _Held:
+    def _read(self, number: int) -> _CachedBucket:
         try:
             found = self._platform.get(ObjectKind.CLAIMS, self._object_name(number))
         except PlatformNotFound:
-            return _Held(ClaimBucket())
-        held = _Held(ClaimBucket.from_spec(found.spec), found.version)
-        self._held[number] = held
-        return held
+            return _CachedBucket(ClaimBucket())
+        cached = _CachedBucket(ClaimBucket.from_spec(found.spec), found.version)
+        self._cached[number] = cached
+        return cached
 
     def _put(self, number: int, bucket: ClaimBucket, version: str) -> None:
         item = PlatformObject(self._object_name(number), bucket.to_spec(), version)
         written = self._platform.put(ObjectKind.CLAIMS, item)
         self._metrics.count('claims.writes')
-        self._held[number] = _Held(bucket, written.version)
+        self._cached[number] = _CachedBucket(bucket, written.version)
--- a/packages/router/seamhold/context.py
+++ b/packages/router/seamhold/context.py
@@ -32,14 +32,14 @@
     unix_time: Callable[[], float] = time.time
     sleep: Callable[[float], None] = time.sleep
 
-    def fresh_id(self) -> str:
+    def new_id(self) -> str:
         """Return a random id that is unique among all processes."""
         return secrets.token_hex(ID_BYTES)
 
-    def say(self, text: str) -> None:
+    def print_line(self, text: str) -> None:
         """Print a line to standard output."""
         print(text, file=self.stdout, flush=True)
 
-    def complain(self, text: str) -> None:
+    def print_error(self, text: str) -> None:
         """Print a line to standard error."""
         print(text, file=self.stderr, flush=True)
--- a/packages/router/seamhold/core.py
+++ b/packages/router/seamhold/core.py
@@ -28,5 +28,5 @@
             serialize=lambda value: None if isinstance(value, ExitStatus) else value,
         )
     except UsageError as error:
-        environment.complain(f'{PROGRAM}: {error.detail}')
+        environment.print_error(f'{PROGRAM}: {error.detail}')
         return ExitStatus.USAGE
--- a/packages/router/seamhold/decider.py
+++ b/packages/router/seamhold/decider.py
@@ -16,43 +16,43 @@
 from seamhold_peers import FleetLists
 from seamhold_routing import Router, Versions
 
-from .case_keeper import CaseKeeper
+from .case_handlers import CaseHandlers
 from .decisions import (
-    Abandon,
+    AbandonCall,
     Admit,
-    Again,
-    Attempted,
-    Began,
+    AnswerStarted,
+    AttemptEnded,
+    BoxLeaving,
     BoxReport,
-    Closed,
+    CallClosed,
     DeciderReport,
     DigestsSent,
     EngineLeaving,
+    EngineLoadReported,
     EngineReport,
-    EngineTold,
-    Hear,
-    HearHoldings,
+    GetDigests,
+    GetLearnedHoldings,
+    GetLists,
+    GetReport,
     KnowledgeReport,
     LearnHoldings,
-    Leaving,
+    ReceiveDigest,
+    ReceiveHoldings,
+    RetryCall,
     SetBoxes,
     SetEngines,
     SetEvacuations,
     StoreAnswered,
     UseSettings,
-    WantDigests,
-    WantLearned,
-    WantLists,
-    WantReport,
 )
 from .listed import ListInUse
 from .tasks import SerialTask
 
 #: Interval between checks of the routing state, in seconds.  The shortest silence that
 #: has an effect is one second.
-LOOK_SECONDS = 0.5
+CHECK_SECONDS = 0.5
 #: Minimum time between two checks, in seconds.
-LOOK_MIN_SECONDS = 0.005
+MIN_CHECK_SECONDS = 0.005
 
 
 class Decider(SerialTask):
@@ -76,60 +76,60 @@
             self.evacuations.known.set()
         self._events_taken = 0
         #: Whether this box watches the platform's store.
-        self.follows_store = True
+        self.watches_store = True
         self._store_lost = False
         #: Set while this box watches the store or has lost it and must reconnect.
         self.store_wanted = threading.Event()
         self.store_wanted.set()
         #: Called when there is an update that peers should receive immediately.
-        self.on_news: Callable[[], None] | None = None
+        self.on_update: Callable[[], None] | None = None
         #: Called with each new list of boxes, whether from the store or from a peer.
         self.on_boxes: Callable[[list[Box]], None] | None = None
         #: Called with each check: how many engines of each service are in use.
         self.on_engine_uses: Callable[[list[ServiceUse]], None] | None = None
-        self._next_uses = 0.0
+        self._next_use_report = 0.0
         self.handlers = {
             Admit: self._admit,
-            Again: self._again,
-            Began: lambda message: self._router.began(message.call_id, self._clock()),
-            Attempted: self._attempted,
-            Closed: self._closed,
-            Abandon: self._abandon,
-            EngineTold: self._engine_told,
+            RetryCall: self._retry_call,
+            AnswerStarted: lambda message: self._router.began(message.call_id, self._clock()),
+            AttemptEnded: self._attempt_ended,
+            CallClosed: self._call_closed,
+            AbandonCall: self._abandon_call,
+            EngineLoadReported: self._engine_load_reported,
             StoreAnswered: lambda _: self._router.store_answered(self._clock()),
             EngineLeaving: self._engine_leaving,
             UseSettings: self._use_settings,
             SetEngines: self._set_engines,
             SetBoxes: self._set_boxes,
             SetEvacuations: self._set_evacuations,
-            WantLists: self._lists,
-            HearHoldings: self._hear_holdings,
+            GetLists: self._get_lists,
+            ReceiveHoldings: self._receive_holdings,
             LearnHoldings: self._learn_holdings,
-            WantLearned: lambda _: self._router.holders.learned,
-            Hear: self._hear,
-            WantDigests: self._digests,
+            GetLearnedHoldings: lambda _: self._router.holders.learned,
+            ReceiveDigest: self._receive_digest,
+            GetDigests: self._get_digests,
             DigestsSent: self._digests_sent,
-            Leaving: self._leaving,
-            WantReport: self._report,
+            BoxLeaving: self._box_leaving,
+            GetReport: self._get_report,
         }
-        self.cases = CaseKeeper(router, clock, self.log, self._tell_cases)
+        self.cases = CaseHandlers(router, clock, self.log, self._cases_changed)
         self.handlers |= self.cases.handlers
 
-    def patience(self) -> float:
+    def next_timeout(self) -> float:
         """Return the seconds until the passing of time may change the routing state."""
         now = self._clock()
         return max(0.0, min(self._next_tick, self._router.next_due(now)) - now)
 
-    def idle(self) -> None:
+    def on_timeout(self) -> None:
         """Advance the routing state to the current time."""
         now = self._clock()
-        self._next_tick = now + LOOK_SECONDS
-        self._note_role(self._router.follows_store(now))
+        self._next_tick = now + CHECK_SECONDS
+        self._set_watch_role(self._router.follows_store(now))
         self._router.store_lost = self.store_lost
         decisions = self._router.tick(now)
-        self._tell_uses(now)
-        due = min(now + LOOK_SECONDS, self._router.next_due(now))
-        self._next_tick = max(now + LOOK_MIN_SECONDS, due)
+        self._report_engine_uses(now)
+        due = min(now + CHECK_SECONDS, self._router.next_due(now))
+        self._next_tick = max(now + MIN_CHECK_SECONDS, due)
         self._deliver(decisions)
 
     @property
@@ -140,29 +140,29 @@
     @store_lost.setter
     def store_lost(self, lost: bool) -> None:
         self._store_lost = lost
-        self._want_store()
+        self._update_store_wanted()
 
-    def _want_store(self) -> None:
-        if self.follows_store or self._store_lost:
+    def _update_store_wanted(self) -> None:
+        if self.watches_store or self._store_lost:
             self.store_wanted.set()
         else:
             self.store_wanted.clear()
 
-    def _tell_news(self) -> None:
-        if self.on_news is not None:
-            self.on_news()
+    def _notify_peers(self) -> None:
+        if self.on_update is not None:
+            self.on_update()
 
-    def _tell_cases(self) -> None:
+    def _cases_changed(self) -> None:
         """Notify peers of changed cases, and log events and changed beliefs.
 
         An engine's end may also have changed what the box assumes about the engine.
         """
-        self._note_events()
-        self._tell_news()
+        self._log_events()
+        self._notify_peers()
 
     def _deliver(self, decisions: list[Decision]) -> None:
         now = self._clock()
-        self._note_events()
+        self._log_events()
         for decision in decisions:
             if isinstance(decision, Queued):
                 continue
@@ -170,20 +170,20 @@
             if reply is not None:
                 reply.set_result(decision)
         if now >= self._next_tick:
-            self.idle()
+            self.on_timeout()
 
-    def _tell_uses(self, now: float) -> None:
-        if self.on_engine_uses is not None and now >= self._next_uses:
-            self._next_uses = now + LOOK_SECONDS
+    def _report_engine_uses(self, now: float) -> None:
+        if self.on_engine_uses is not None and now >= self._next_use_report:
+            self._next_use_report = now + CHECK_SECONDS
             self.on_engine_uses(self._router.engine_uses(now))
 
-    def _note_role(self, follows: bool) -> None:
-        if follows != self.follows_store:
-            self.follows_store = follows
-            self._want_store()
-            self.log.info('watch_role.changed', watches=follows)
+    def _set_watch_role(self, watches: bool) -> None:
+        if watches != self.watches_store:
+            self.watches_store = watches
+            self._update_store_wanted()
+            self.log.info('watch_role.changed', watches=watches)
 
-    def _note_events(self) -> None:
+    def _log_events(self) -> None:
         for belief in self._router.take_beliefs():
             engine = self._router.engines.get(belief.subject)
             self.log.info(
@@ -197,7 +197,7 @@
         taken = self._router.events.taken
         if taken != self._events_taken:
             self._events_taken = taken
-            self._tell_news()
+            self._notify_peers()
 
     def _admit(self, message: Admit) -> Admit:
         # _deliver sets the reply, now or when the call leaves the queue.
@@ -205,7 +205,7 @@
         self._deliver(self._router.admit(message.call, self._clock()))
         return message
 
-    def _again(self, message: Again) -> Again:
+    def _retry_call(self, message: RetryCall) -> RetryCall:
         now = self._clock()
         decisions = self._router.attempted(message.call_id, message.outcome, now)
         self._router.exclude(message.call_id, message.failed_engine)
@@ -214,14 +214,14 @@
         self._deliver(decisions + self._router.again(message.call_id, now, full_engine))
         return message
 
-    def _attempted(self, message: Attempted) -> None:
+    def _attempt_ended(self, message: AttemptEnded) -> None:
         self._deliver(self._router.attempted(message.call_id, message.outcome, self._clock()))
 
-    def _closed(self, message: Closed) -> None:
+    def _call_closed(self, message: CallClosed) -> None:
         self._replies.pop(message.call_id, None)
         self._deliver(self._router.close(message.call_id, self._clock()))
 
-    def _abandon(self, message: Abandon) -> None:
+    def _abandon_call(self, message: AbandonCall) -> None:
         reply = self._replies.pop(message.call_id, None)
         if reply is not None:
             self._deliver(self._router.close(message.call_id, self._clock()))
@@ -229,22 +229,22 @@
 
     def _engine_leaving(self, message: EngineLeaving) -> None:
         self._router.engine_leaving(message.engine, self._clock())
-        self._note_events()
+        self._log_events()
 
-    def _engine_told(self, message: EngineTold) -> None:
+    def _engine_load_reported(self, message: EngineLoadReported) -> None:
         now = self._clock()
         self._router.engine_told(message.engine, message.requests, message.sent_at, now)
 
     def _use_settings(self, message: UseSettings) -> None:
         self._router.use_settings(message.tree)
-        self._tell_news()
+        self._notify_peers()
 
     def _set_engines(self, message: SetEngines) -> None:
         if not self.engines.is_news(message.version):
             return
         decisions = self._router.set_engines(message.engines, self._clock())
         self.engines.put(message.engines, message.version)
-        self._tell_news()
+        self._notify_peers()
         self._deliver(decisions)
 
     def _set_boxes(self, message: SetBoxes) -> None:
@@ -252,7 +252,7 @@
             return
         self._router.set_boxes(message.boxes, self._clock())
         self.boxes.put(message.boxes, message.version)
-        self._tell_news()
+        self._notify_peers()
         if self.on_boxes is not None:
             self.on_boxes(message.boxes)
 
@@ -261,18 +261,18 @@
             return
         decisions = self._router.set_evacuations(message.evacuations, self._clock())
         self.evacuations.put(message.evacuations, message.version)
-        self._tell_news()
+        self._notify_peers()
         self._deliver(decisions)
 
-    def _hear_holdings(self, message: HearHoldings) -> None:
+    def _receive_holdings(self, message: ReceiveHoldings) -> None:
         self._router.holders.heard(message.held, self._clock())
 
     def _learn_holdings(self, message: LearnHoldings) -> None:
         self._router.holders.learn(message.engine, message.chats, self._clock())
         # Boxes that started at the same time wait for these holdings.
-        self._tell_news()
+        self._notify_peers()
 
-    def _lists(self, message: WantLists) -> FleetLists:
+    def _get_lists(self, message: GetLists) -> FleetLists:
         held = self._router.holders.all(self._clock()) if message.holdings else ()
         return FleetLists(
             self.engines.items or [],
@@ -284,13 +284,13 @@
             evacuations_version=self.evacuations.version,
         )
 
-    def _hear(self, message: Hear) -> None:
+    def _receive_digest(self, message: ReceiveDigest) -> None:
         self._deliver(self._router.hear(message.digest, self._clock()))
 
-    def _digests(self, message: WantDigests) -> list[Digest]:
+    def _get_digests(self, message: GetDigests) -> list[Digest]:
         versions = Versions(
             message.settings_total,
-            message.settings_print,
+            message.settings_fingerprint,
             self.engines.version,
             self.boxes.version,
             self.store_lost,
@@ -301,10 +301,10 @@
     def _digests_sent(self, message: DigestsSent) -> None:
         self._router.digests_sent(message.digests)
 
-    def _leaving(self, message: Leaving) -> None:
+    def _box_leaving(self, message: BoxLeaving) -> None:
         self._router.leave()
 
-    def _report(self, message: WantReport) -> DeciderReport:
+    def _get_report(self, message: GetReport) -> DeciderReport:
         now = self._clock()
         router = self._router
         boxes = tuple(
@@ -327,12 +327,12 @@
             tuple(box.name for box in router.boxes.neighbours()),
             tuple(engines),
             dict(sorted(router.counts.items())),
-            self._knowledge(now),
+            self._state_report(now),
             self.cases.reports(now),
             tuple(router.missing_boxes(now)),
         )
 
-    def _knowledge(self, now: float) -> KnowledgeReport:
+    def _state_report(self, now: float) -> KnowledgeReport:
         seen_at = self._router.exchange.store_seen_at
         ages = self._router.loads.reading_ages(now)
         return KnowledgeReport(
--- a/packages/router/seamhold/decisions.py
+++ b/packages/router/seamhold/decisions.py
@@ -9,16 +9,16 @@
 from seamhold_quarantine import Case, EndReport, Standing, TrialAsk, TrialOver
 from seamhold_settings import Tree
 
-from .tasks import Ask
+from .tasks import Query
 
 
-class Admit(Ask):
+class Admit(Query):
     """Requests a placement for a new call; the reply is Placed or Refused."""
 
     call: Call
 
 
-class Again(Ask):
+class RetryCall(Query):
     """Requests another engine for a call whose attempt failed; the reply is as for Admit."""
 
     call_id: str
@@ -26,13 +26,13 @@
     outcome: Outcome
 
 
-class Began(Struct):
+class AnswerStarted(Struct):
     """Reports that the engine of a call has started to answer."""
 
     call_id: str
 
 
-class EngineTold(Struct):
+class EngineLoadReported(Struct):
     """Reports how many calls run and wait at an engine, as its answer says.
 
     `sent_at` is when the answered call was sent, in seconds on the box's clock.
@@ -47,20 +47,20 @@
     """Reports that the platform answered this box."""
 
 
-class Attempted(Struct):
+class AttemptEnded(Struct):
     """Reports the outcome of an attempt."""
 
     call_id: str
     outcome: Outcome
 
 
-class Closed(Struct):
+class CallClosed(Struct):
     """Reports that a call has ended."""
 
     call_id: str
 
 
-class Abandon(Struct):
+class AbandonCall(Struct):
     """Reports that the caller of a call, which may be queued, has disconnected."""
 
     call_id: str
@@ -72,7 +72,7 @@
     engine: str
 
 
-class EngineEnded(Ask):
+class EngineEnded(Query):
     """Reports that an engine ended under one of this box's calls; the reply is EndCounted.
 
     The end of an `excused` request, which succeeded shortly before, is not counted.
@@ -93,48 +93,48 @@
     report: EndReport | None = None
 
 
-class HearEnd(Ask):
+class ReceiveEnd(Query):
     """Passes on a peer's report that an engine ended; the reply is EndsKnown."""
 
     report: EndReport
 
 
-class AskTrial(Ask):
+class RequestTrial(Query):
     """Asks this box, as an owner of the request, for a trial; the reply is Permission."""
 
-    ask: TrialAsk
+    trial: TrialAsk
 
 
 class EndTrial(Struct):
-    """Reports that the trial of a suspect request has ended."""
+    """Reports that a run of a suspect request has ended."""
 
-    over: TrialOver
+    result: TrialOver
 
 
-class WantStanding(Ask):
+class GetStanding(Query):
     """Asks for this box's own verdict on a request to a service; the reply is Permission."""
 
     request: str
     service: str
 
 
-class WantCase(Ask):
+class GetCase(Query):
     """Asks for this box's case of one request; the reply is a Case, or None."""
 
     request: str
 
 
-class WantCases(Ask):
+class GetCases(Query):
     """Asks for all cases that boxes share; the reply is a tuple of Case."""
 
 
-class HearCases(Ask):
+class ReceiveCases(Query):
     """Passes on cases received from a peer or from the store."""
 
     cases: tuple[Case, ...]
 
 
-class LiftCase(Ask):
+class LiftCase(Query):
     """Clears a request for an operator; the reply is whether a case existed."""
 
     request: str
@@ -176,13 +176,13 @@
     version: int = 0
 
 
-class WantLists(Ask):
+class GetLists(Query):
     """Asks for the lists in use; the reply is FleetLists, with holdings if `holdings` is set."""
 
     holdings: bool = False
 
 
-class HearHoldings(Struct):
+class ReceiveHoldings(Struct):
     """Passes on holdings received from a peer: which engines have read which chats."""
 
     held: tuple[Holding, ...]
@@ -195,22 +195,22 @@
     chats: list[str]
 
 
-class WantLearned(Ask):
+class GetLearnedHoldings(Query):
     """Asks for all holdings that engines reported to this box."""
 
 
-class Hear(Struct):
+class ReceiveDigest(Struct):
     """Passes on a digest received from a peer."""
 
     digest: Digest
 
 
-class WantDigests(Ask):
+class GetDigests(Query):
     """Asks for the next digest for each of `peers`, with the settings in force here."""
 
     peers: tuple[str, ...]
     settings_total: int
-    settings_print: int
+    settings_fingerprint: int
 
 
 class DigestsSent(Struct):
@@ -219,7 +219,7 @@
     digests: tuple[Digest, ...]
 
 
-class Leaving(Struct):
+class BoxLeaving(Struct):
     """Reports that this box is stopping."""
 
 
@@ -280,10 +280,10 @@
     missing_boxes: tuple[str, ...] = ()
 
     @property
-    def heard_boxes(self) -> list[str]:
+    def responsive_boxes(self) -> list[str]:
         """The live boxes that are not missing, including this one."""
         return [name for name in self.live_boxes if name not in self.missing_boxes]
 
 
-class WantReport(Ask):
+class GetReport(Query):
     """Asks for a DeciderReport."""
--- a/packages/router/seamhold/ending.py
+++ b/packages/router/seamhold/ending.py
@@ -14,10 +14,10 @@
     try:
         result = command()
     except SeamholdError as error:
-        environment.complain(f'{PROGRAM}: {error.code}: {error.detail}')
+        environment.print_error(f'{PROGRAM}: {error.code}: {error.detail}')
         return exit_status_of(error)
     except OSError as error:
-        environment.complain(f'{PROGRAM}: {error}')
+        environment.print_error(f'{PROGRAM}: {error}')
         return ExitStatus.ERROR
     except KeyboardInterrupt:
         return ExitStatus.CTRL_C
--- a/packages/router/seamhold/engine_uses.py
+++ b/packages/router/seamhold/engine_uses.py
@@ -19,17 +19,17 @@
         self._log = logger('engine-uses')
         self._warned: set[str] = set()
 
-    def note(self, uses: Iterable[ServiceUse]) -> None:
+    def record(self, uses: Iterable[ServiceUse]) -> None:
         """Record how many engines of each service are in use."""
         for use in uses:
             self._metrics.engine_use(use)
             if (use.unused_share > WARNED_SHARE) != (use.service in self._warned):
                 self._warned ^= {use.service}
-                self._tell(use)
+                self._log_change(use)
 
-    def _tell(self, use: ServiceUse) -> None:
-        tell = self._log.warning if use.service in self._warned else self._log.info
-        tell(
+    def _log_change(self, use: ServiceUse) -> None:
+        log = self._log.warning if use.service in self._warned else self._log.info
+        log(
             'service.engines_unused',
             service=use.service,
             above_share=use.service in self._warned,
--- a/packages/router/seamhold/engines.py
+++ b/packages/router/seamhold/engines.py
@@ -17,7 +17,7 @@
 
 from .ports import AttemptFailed, Cancellation, EngineLoad, EngineRequest
 from .probing import refuses_connections, was_refused
-from .streams import StreamWatch
+from .streams import EventStreamCheck
 
 REQUEST_ID_HEADER = 'X-Request-Id'
 RAN_HEADER = 'X-Ran'
@@ -78,9 +78,9 @@
             retries=False,
         )
 
-    def stream_check(self, request: EngineRequest) -> StreamWatch:
+    def stream_check(self, request: EngineRequest) -> EventStreamCheck:
         """Return a check for a stream that answers `request`."""
-        return StreamWatch(request.request_id)
+        return EventStreamCheck(request.request_id)
 
     def open(
         self, placed: Placed, request: EngineRequest, remaining: float, _: Cancellation
@@ -105,18 +105,18 @@
                 decode_content=False,
             )
         except urllib3.exceptions.HTTPError as error:
-            raise self._failure(error) from error
+            raise self._connection_failure(error) from error
         self._set_stall_timeout(response, remaining)
-        return self._checked(response, request)
+        return self._check_answer(response, request)
 
     @staticmethod
-    def _failure(error: Exception) -> AttemptFailed:
+    def _connection_failure(error: Exception) -> AttemptFailed:
         if isinstance(
             error, (urllib3.exceptions.NewConnectionError, urllib3.exceptions.ConnectTimeoutError)
         ):
             unreachable = EngineUnreachable('no connection')
             refused = was_refused(error)
-            return AttemptFailed(Outcome.NOT_SENT, unreachable, nobody_listens=refused)
+            return AttemptFailed(Outcome.NOT_SENT, unreachable, connection_refused=refused)
         if isinstance(error, urllib3.exceptions.TimeoutError):
             return AttemptFailed(Outcome.FAILED, AnswerTimeout('no answer in time'))
         return AttemptFailed(Outcome.FAILED, EngineFailed('the connection broke'))
@@ -127,16 +127,16 @@
         if connection is not None and connection.sock is not None:
             connection.sock.settimeout(min(STALL_SECONDS, remaining))
 
-    def _checked(self, response, request: EngineRequest) -> EngineAnswer:
+    def _check_answer(self, response, request: EngineRequest) -> EngineAnswer:
         answer = EngineAnswer(response)
-        failed = self._refusal(answer, request)
+        failed = self._answer_failure(answer, request)
         if failed is not None:
             answer.close()
             raise failed
         return answer
 
     @staticmethod
-    def _refusal(answer: EngineAnswer, request: EngineRequest) -> AttemptFailed | None:
+    def _answer_failure(answer: EngineAnswer, request: EngineRequest) -> AttemptFailed | None:
         status, headers = answer.status, answer.headers
         if status in (429, 503) and headers.get(RAN_HEADER) == 'no':
             reason = headers.get(REASON_HEADER, '')
--- a/packages/router/seamhold/guards.py
+++ b/packages/router/seamhold/guards.py
@@ -21,7 +21,7 @@
 
 from .claims import ClaimWriter, ReleaseClaim
 from .metrics import Metrics
-from .tickets import BeginTicket, TicketDesk, TicketDone, TicketNotRun
+from .tickets import BeginTicket, TicketDone, TicketNotRun, TicketTask
 
 #: Maximum wait for a reply of the ticket task, in seconds.
 TASK_SECONDS = 5.0
@@ -40,7 +40,7 @@
         """Record that the call has ended."""
 
 
-class OpenGuard:
+class NullGuard:
     """Guards nothing: for calls whose every arrival is a separate request."""
 
     def begin(self, remaining: float) -> None:
@@ -56,24 +56,24 @@
 class TicketGuard:
     """Guards a call whose ticket this box holds."""
 
-    def __init__(self, desk: TicketDesk, ticket: TicketName, workspace: str, body_hash: str):
-        self._desk = desk
+    def __init__(self, ticket_task: TicketTask, ticket: TicketName, workspace: str, body_hash: str):
+        self._ticket_task = ticket_task
         self._ticket = ticket
         self._workspace = workspace
         self._body_hash = body_hash
 
     def begin(self, remaining: float) -> None:
-        """Mark the ticket used, or raise KeyInUse or TicketUnknown."""
+        """Mark the ticket used; raises KeyInUse, KeyMismatch or TicketUnknown."""
         message = BeginTicket(self._ticket, self._workspace, self._body_hash)
-        self._desk.ask(message).result(TASK_SECONDS)
+        self._ticket_task.query(message).result(TASK_SECONDS)
 
     def not_run(self) -> None:
         """Reopen the ticket."""
-        self._desk.send(TicketNotRun(self._ticket))
+        self._ticket_task.send(TicketNotRun(self._ticket))
 
     def done(self) -> None:
         """Close the ticket."""
-        self._desk.send(TicketDone(self._ticket))
+        self._ticket_task.send(TicketDone(self._ticket))
 
 
 class ClaimGuard:
@@ -81,13 +81,13 @@
 
     def __init__(
         self,
-        ask: ClaimAsk,
+        request: ClaimAsk,
         claim: Callable[[ClaimAsk], ClaimState],
         writer: ClaimWriter,
         metrics: Metrics,
         run_unclaimed: bool,
     ):
-        self._ask = ask
+        self._request = request
         self._claim = claim
         self._writer = writer
         self._metrics = metrics
@@ -99,7 +99,7 @@
         Raises KeyInUse, KeyMismatch, ClaimsFull or ClaimsUnavailable if that fails.
         """
         try:
-            state = self._claim(self._ask)
+            state = self._claim(self._request)
         except FutureTimeout as error:
             raise ClaimsUnavailable('the key was not stored in time', 1.0) from error
         except ClaimsUnavailable as error:
@@ -118,7 +118,9 @@
 
     def not_run(self) -> None:
         """Release the key: the caller's next try may run."""
-        self._writer.send(ReleaseClaim(self._ask.bucket, self._ask.key, self._ask.owner))
+        self._writer.send(
+            ReleaseClaim(self._request.bucket, self._request.key, self._request.owner)
+        )
 
     def done(self) -> None:
         """Do nothing: the claim stays stored to prevent a second run."""
--- a/packages/router/seamhold/headers.py
+++ b/packages/router/seamhold/headers.py
@@ -33,7 +33,7 @@
 FROM_ENGINES = frozenset({'content-type', 'cache-control', 'etag', 'location', 'content-encoding'})
 
 
-def towards_engine(headers: Mapping[str, str]) -> dict[str, str]:
+def headers_for_engine(headers: Mapping[str, str]) -> dict[str, str]:
     """Return the caller's headers that are forwarded to an engine."""
     return {
         name: value
@@ -44,6 +44,6 @@
     }
 
 
-def towards_caller(headers: Iterable[tuple[str, str]]) -> dict[str, str]:
+def headers_for_caller(headers: Iterable[tuple[str, str]]) -> dict[str, str]:
     """Return the engine's headers that are forwarded to a caller."""
     return {name: value for name, value in headers if name.lower() in FROM_ENGINES}
--- a/packages/router/seamhold/job.py
+++ b/packages/router/seamhold/job.py
@@ -11,17 +11,17 @@
 
 
 class Attempt(Struct):
-    """One attempt as it is logged; `began` is in seconds on the box's clock."""
+    """One attempt as it is logged; `began_at` is in seconds on the box's clock."""
 
     placed: Placed
-    began: float
+    began_at: float
     #: When the head of the answer arrived, on the box's clock; None if it never did.
-    answered: float | None = None
+    answered_at: float | None = None
     outcome: str = ''
     code: str = ''
     seconds: float = 0.0
     #: The load that the backend server reported; None if it did not.
-    told: EngineLoad | None = None
+    reported_load: EngineLoad | None = None
     #: Why the backend server refused the attempt; '' if it did not.
     refusal: str = ''
 
@@ -41,11 +41,13 @@
             'idle': placed.idle,
             'silent': placed.silent,
             'load_age': None if placed.load_age is None else round(placed.load_age, 3),
-            'told': None if self.told is None else self.told.requests,
+            'told': None if self.reported_load is None else self.reported_load.requests,
             'outcome': self.outcome,
             'code': self.code,
             'refusal': self.refusal,
-            'answered': None if self.answered is None else round(self.answered - self.began, 3),
+            'answered': None
+            if self.answered_at is None
+            else round(self.answered_at - self.began_at, 3),
             'seconds': round(self.seconds, 3),
         }
 
--- a/packages/router/seamhold/ports.py
+++ b/packages/router/seamhold/ports.py
@@ -74,7 +74,7 @@
     LEAVING = 'leaving'
     SLOTS_TAKEN = 'slots_taken'
     SLOTS_FREE = 'slots_free'
-    UNTOLD = 'untold'
+    UNREPORTED = 'untold'
 
 
 class AttemptFailed(Exception):
@@ -82,7 +82,7 @@
 
     `outcome` tells whether it may have run.  If there is no retry the caller receives
     `answer`, the backend server's own failure, unchanged, or else `error`.  `load` is the
-    load that the server reported, if any.  `nobody_listens` is set if the attempt was not
+    load that the server reported, if any.  `connection_refused` is set if the attempt was not
     sent because the connection was refused: the server's process has ended.
     """
 
@@ -93,11 +93,11 @@
         leaving: bool = False,
         answer: Answer | None = None,
         load: EngineLoad | None = None,
-        nobody_listens: bool = False,
+        connection_refused: bool = False,
     ):
         super().__init__(str(error))
         self.load = load
-        self.nobody_listens = nobody_listens
+        self.connection_refused = connection_refused
         self.outcome = outcome
         self.error = error
         self.leaving = leaving
@@ -109,7 +109,7 @@
         if self.leaving:
             return Refusal.LEAVING
         if self.load is None:
-            return Refusal.UNTOLD
+            return Refusal.UNREPORTED
         return Refusal.SLOTS_TAKEN if self.load.is_full else Refusal.SLOTS_FREE
 
 
@@ -245,7 +245,7 @@
     tokens: int
 
 
-class CallerWords(Struct, frozen=True):
+class CallerMetadata(Struct, frozen=True):
     """The fields of a caller's request head, independent of the dialect.
 
     `remaining` is the time that the caller will wait, in seconds, None for no limit.  `key`
@@ -262,7 +262,7 @@
     resume_after: str = ''
 
 
-class AttemptWords(Struct, frozen=True):
+class AttemptMetadata(Struct, frozen=True):
     """The fields that a box adds to the caller's head for a backend server.
 
     `remaining` is in seconds.  `fetch_from` is the address of another backend server that
@@ -296,7 +296,7 @@
 class CallerDialect(Protocol):
     """The protocol towards callers."""
 
-    def read(self, headers: Mapping[str, str]) -> CallerWords:
+    def read(self, headers: Mapping[str, str]) -> CallerMetadata:
         """Parse a request head; raises BadRequest if it is invalid.
 
         The keys of `headers` are in lower case.
@@ -317,7 +317,7 @@
 
     held_path: str
 
-    def headers(self, words: AttemptWords) -> dict[str, str]:
+    def headers(self, metadata: AttemptMetadata) -> dict[str, str]:
         """Return the headers that the box adds to the caller's."""
 
     def verdict(self, status: int, headers: Mapping[str, str], request_id: str) -> Verdict:
--- a/packages/router/seamhold/runner.py
+++ b/packages/router/seamhold/runner.py
@@ -26,7 +26,16 @@
 from .budgets import RetryBudgets
 from .context import Environment
 from .decider import Decider
-from .decisions import Abandon, Admit, Again, Attempted, Began, Closed, EngineLeaving, EngineTold
+from .decisions import (
+    AbandonCall,
+    Admit,
+    AnswerStarted,
+    AttemptEnded,
+    CallClosed,
+    EngineLeaving,
+    EngineLoadReported,
+    RetryCall,
+)
 from .job import Attempt, Job
 from .logs import logger
 from .metrics import Metrics
@@ -39,7 +48,7 @@
     OpenAnswer,
     StreamCheck,
 )
-from .trials import WAIT_SECONDS, Trials
+from .trials import TRIAL_WAIT_SECONDS, Trials
 
 #: Time for the decider to reply after a call's deadline, in seconds.
 DECIDER_SLACK_SECONDS = 0.2
@@ -48,7 +57,7 @@
 #: and are not counted: a call tries each once, and the box then avoids them.
 SILENT_MAX = 4
 #: Outcomes that may mean that the engine ended.
-BREAKS = frozenset({Outcome.FAILED, Outcome.BROKEN})
+ENGINE_END_OUTCOMES = frozenset({Outcome.FAILED, Outcome.BROKEN})
 
 
 class Runner:
@@ -75,17 +84,17 @@
         """Return the call's answer, or raise the error that its caller receives."""
         begun = False
         try:
-            self._permit(job, WAIT_SECONDS)
-            placed = self._await(job, self._decider.ask(Admit(job.call)))
+            self._permit(job, TRIAL_WAIT_SECONDS)
+            placed = self._await_placement(job, self._decider.query(Admit(job.call)))
             job.guard.begin(self._remaining(job))
             begun = True
             self._check_time(job)
-            self._permit_still(job)
-            self._budgets.first_attempt(job.call.service)
+            self._recheck_permission(job)
+            self._budgets.record_first_attempt(job.call.service)
             return self._attempts(job, placed)
         except SeamholdError as error:
             self._close(job)
-            raise self._told(job, error, begun) from error
+            raise self._caller_error(job, error, begun) from error
         except BaseException:
             self._close(job)
             raise
@@ -98,18 +107,18 @@
         """
         identity = job.identity
         self._trials.catch_up()
-        if not self._trials.is_watched(identity):
+        if not self._trials.needs_permission(identity):
             return
         seconds = self._remaining(job)
-        ask = TrialAsk(identity.digest, job.call.id, seconds)
-        job.on_trial = self._trials.permit(
-            ask, job.call.service, min(patience, seconds), job.cancellation
+        trial = TrialAsk(identity.digest, job.call.id, seconds)
+        job.on_trial = self._trials.request_permission(
+            trial, job.call.service, min(patience, seconds), job.cancellation
         )
         if job.on_trial:
             # If it ends its engine, the one with the fewest calls loses the fewest.
             job.call = replace(job.call, sticky=False)
 
-    def _permit_still(self, job: Job) -> None:
+    def _recheck_permission(self, job: Job) -> None:
         """Check the permission again before an attempt.
 
         While the call was queued or refused by engines, other engines may have ended under
@@ -117,11 +126,11 @@
         not keep one that other calls could use.
         """
         if job.on_trial:
-            self._trials.check_proof(job.identity.digest)
+            self._trials.check_quarantine(job.identity.digest)
         else:
             self._permit(job, 0.0)
 
-    def _told(self, job: Job, error: SeamholdError, begun: bool) -> SeamholdError:
+    def _caller_error(self, job: Job, error: SeamholdError, begun: bool) -> SeamholdError:
         """Return the caller's error, with `ran` set for all attempts, and end the guard."""
         if job.maybe_ran:
             error.ran = Ran.UNKNOWN
@@ -139,9 +148,9 @@
         if self._remaining(job) <= 0:
             raise DeadlinePassed('the time ran out before the call was sent')
 
-    def _await(self, job: Job, reply: Future) -> Placed:
+    def _await_placement(self, job: Job, reply: Future) -> Placed:
         wait = max(0.0, self._remaining(job)) + DECIDER_SLACK_SECONDS
-        job.cancellation.attach(lambda: self._decider.send(Abandon(job.call.id)))
+        job.cancellation.attach(lambda: self._decider.send(AbandonCall(job.call.id)))
         try:
             decision = reply.result(wait)
         except FutureTimeout as error:
@@ -158,7 +167,7 @@
                 return self._attempt(job, placed)
             except AttemptFailed as failure:
                 try:
-                    placed = self._next_place(job, placed, failure, passed=False)
+                    placed = self._next_place(job, placed, failure, streaming=False)
                 except SeamholdError as error:
                     return self._engine_failure(job, placed, failure, error)
 
@@ -177,8 +186,8 @@
     def _attempt(self, job: Job, placed: Placed) -> Answer:
         answer = self._open(job, placed, job.request)
         if job.streamed and answer.status < 400:
-            passed = self._pass(job, placed, answer)
-            return Answer(answer.status, dict(answer.headers), passed, placed)
+            stream = self._stream(job, placed, answer)
+            return Answer(answer.status, dict(answer.headers), stream, placed)
         try:
             body = answer.whole()
         finally:
@@ -194,54 +203,56 @@
         except AttemptFailed as failure:
             if failure.outcome is not Outcome.NOT_SENT:
                 job.sent += 1
-            elif not failure.nobody_listens:
+            elif not failure.connection_refused:
                 job.silent += 1
             if failure.outcome in REFUSALS:
                 job.attempts[-1].refusal = failure.refusal
                 self._metrics.count(f'engine_refused.{failure.refusal}')
-            self._note_load(job, placed, failure.load)
+            self._record_load(job, placed, failure.load)
             raise
         job.sent += 1
-        self._note_load(job, placed, answer.load)
-        job.attempts[-1].answered = self._environment.monotonic()
-        self._decider.send(Began(job.call.id))
+        self._record_load(job, placed, answer.load)
+        job.attempts[-1].answered_at = self._environment.monotonic()
+        self._decider.send(AnswerStarted(job.call.id))
         return answer
 
-    def _note_load(self, job: Job, placed: Placed, load: EngineLoad | None) -> None:
+    def _record_load(self, job: Job, placed: Placed, load: EngineLoad | None) -> None:
         if load is None:
             return
-        job.attempts[-1].told = load
+        job.attempts[-1].reported_load = load
         # The call itself was not part of the load when it was placed.
         self._metrics.belief_error(job.call.service, load.requests - placed.load - 1)
-        began = job.attempts[-1].began
-        self._decider.send(EngineTold(placed.engine, load.requests, began))
+        began_at = job.attempts[-1].began_at
+        self._decider.send(EngineLoadReported(placed.engine, load.requests, began_at))
 
-    def _next_place(self, job: Job, placed: Placed, failure: AttemptFailed, passed: bool) -> Placed:
+    def _next_place(
+        self, job: Job, placed: Placed, failure: AttemptFailed, streaming: bool
+    ) -> Placed:
         """Return the placement for a retry; raises if the call must not be retried.
 
-        `passed` tells whether a part of a streamed answer may already be with the caller.
+        `streaming` tells whether a part of the answer may already have been passed on.
         """
-        self._note_attempt(job, failure.outcome, failure.error.code)
+        self._record_attempt(job, failure.outcome, failure.error.code)
         if failure.outcome not in NOT_RUN:
             job.maybe_ran = True
         if job.cancellation.cancelled:
-            self._decider.send(Attempted(job.call.id, Outcome.CANCELLED))
+            self._decider.send(AttemptEnded(job.call.id, Outcome.CANCELLED))
             raise CallerLeft('the caller closed its connection')
-        may_go_on = self._may_go_on(job, failure, passed)
+        retry_allowed = self._may_retry(job, failure, streaming)
         if self._has_ended(placed, failure):
-            ends = self._note_end(job, placed, may_go_on)
+            ends = self._record_engine_end(job, placed, retry_allowed)
             # The call may be the cause of a second end: automatic retries would end engines
             # faster than the boxes learn of it.
-            may_go_on = may_go_on and not job.on_trial and ends < SUSPECT_ENDS
+            retry_allowed = retry_allowed and not job.on_trial and ends < SUSPECT_ENDS
         if failure.leaving:
             self._decider.send(EngineLeaving(placed.engine))
         self._metrics.count(f'attempt_failed.{failure.error.code}')
-        if not may_go_on:
-            self._decider.send(Attempted(job.call.id, failure.outcome))
+        if not retry_allowed:
+            self._decider.send(AttemptEnded(job.call.id, failure.outcome))
             raise failure.error
         if not self._within_budget(job, failure):
             self._metrics.count('retry.budget_spent')
-            self._decider.send(Attempted(job.call.id, failure.outcome))
+            self._decider.send(AttemptEnded(job.call.id, failure.outcome))
             raise failure.error if job.maybe_ran else RetryBudgetSpent(failure.error.detail, 1.0)
         self._metrics.count(f'retry.{failure.outcome}')
         self._log.info(
@@ -251,34 +262,34 @@
             outcome=failure.outcome,
             code=failure.error.code,
         )
-        again = Again(job.call.id, placed.engine, failure.outcome)
-        found = self._await(job, self._decider.ask(again))
+        retry = RetryCall(job.call.id, placed.engine, failure.outcome)
+        next_placed = self._await_placement(job, self._decider.query(retry))
         self._check_time(job)
         try:
-            self._permit_still(job)
+            self._recheck_permission(job)
         except (RequestQuarantined, RequestOnTrial) as refusal:
             # The refusal says that the call did not run, which is wrong if it may have run.
             raise (failure.error if job.maybe_ran else refusal) from refusal
-        return found
+        return next_placed
 
     def _has_ended(self, placed: Placed, failure: AttemptFailed) -> bool:
         """Whether the engine's process ended under the call.
 
         A connection that is cut or an invalid answer may have another cause.
         """
-        if failure.outcome not in BREAKS or isinstance(failure.error, AnswerTimeout):
+        if failure.outcome not in ENGINE_END_OUTCOMES or isinstance(failure.error, AnswerTimeout):
             return False
         return self._engines.has_ended(placed)
 
-    def _note_end(self, job: Job, placed: Placed, wanted: bool) -> int:
+    def _record_engine_end(self, job: Job, placed: Placed, count_needed: bool) -> int:
         """Report that an engine ended under a call; return the number of ends of its request.
 
-        The number includes the ends that other boxes know only if it is `wanted`.
+        The number includes the ends that other boxes know only if `count_needed` is set.
         """
         self._metrics.count('engine_ended_under_call')
         attempt = job.attempts[-1]
         identity = job.identity
-        ends = self._trials.ended(identity, placed, job.on_trial, wanted)
+        ends = self._trials.record_engine_end(identity, placed, job.on_trial, count_needed)
         self._log.warning(
             'engine.ended_under_call',
             request_id=job.call.id,
@@ -286,26 +297,26 @@
             engine=placed.engine,
             service=job.call.service,
             workspace=job.call.workspace,
-            begun=attempt.answered is not None,
+            begun=attempt.answered_at is not None,
             on_trial=job.on_trial,
             ends=ends,
             seconds=round(attempt.seconds, 3),
         )
         return ends
 
-    def _note_attempt(self, job: Job, outcome: Outcome, code: str = '') -> None:
+    def _record_attempt(self, job: Job, outcome: Outcome, code: str = '') -> None:
         attempt = job.attempts[-1]
         attempt.outcome = outcome
         attempt.code = code
-        attempt.seconds = self._environment.monotonic() - attempt.began
+        attempt.seconds = self._environment.monotonic() - attempt.began_at
 
     @staticmethod
-    def _may_go_on(job: Job, failure: AttemptFailed, passed: bool) -> bool:
+    def _may_retry(job: Job, failure: AttemptFailed, streaming: bool) -> bool:
         """Whether the route's retry rule allows another attempt."""
         if failure.outcome is Outcome.NOT_SENT:
-            return job.silent < SILENT_MAX and (not passed or job.rule.repeatable)
-        resumes = passed and job.rule.repeatable
-        return may_retry(job.rule, failure.outcome, job.sent, passed and not resumes)
+            return job.silent < SILENT_MAX and (not streaming or job.rule.repeatable)
+        resumes = streaming and job.rule.repeatable
+        return may_retry(job.rule, failure.outcome, job.sent, streaming and not resumes)
 
     def _within_budget(self, job: Job, failure: AttemptFailed) -> bool:
         """Whether the retry budget allows another attempt; a call that was not sent is free."""
@@ -313,7 +324,7 @@
             return True
         return self._budgets.take(job.call.service)
 
-    def _pass(self, job: Job, placed: Placed, answer: OpenAnswer) -> Iterator[bytes]:
+    def _stream(self, job: Job, placed: Placed, answer: OpenAnswer) -> Iterator[bytes]:
         """Yield the stream as it arrives, and resume it at another engine if allowed.
 
         The finally clause also runs when the caller disconnects: it cancels the call at
@@ -330,7 +341,7 @@
                 except AttemptFailed as failure:
                     outcome = failure.outcome
                     answer.close()
-                    placed = self._next_place(job, placed, failure, passed=True)
+                    placed = self._next_place(job, placed, failure, streaming=True)
                     outcome = Outcome.CANCELLED
                     answer = self._resume(job, placed, watch)
         except SeamholdError as error:
@@ -350,7 +361,7 @@
             try:
                 return self._open(job, placed, request)
             except AttemptFailed as failure:
-                placed = self._next_place(job, placed, failure, passed=True)
+                placed = self._next_place(job, placed, failure, streaming=True)
 
     @staticmethod
     def _events(watch: StreamCheck, answer: OpenAnswer) -> Iterator[bytes]:
@@ -366,16 +377,16 @@
 
     def _finish(self, job: Job, outcome: Outcome) -> None:
         if outcome in (Outcome.DONE, Outcome.CANCELLED):
-            self._note_attempt(job, outcome)
-        self._decider.send(Attempted(job.call.id, outcome))
+            self._record_attempt(job, outcome)
+        self._decider.send(AttemptEnded(job.call.id, outcome))
         job.guard.done()
         job.answered = outcome is Outcome.DONE
         self._close(job)
 
     def _close(self, job: Job) -> None:
-        self._decider.send(Closed(job.call.id))
+        self._decider.send(CallClosed(job.call.id))
         if job.on_trial:
             job.on_trial = False
-            self._trials.over(job.identity.digest, job.call.id, job.answered)
+            self._trials.report_trial_end(job.identity.digest, job.call.id, job.answered)
         if job.answered:
-            self._trials.ended_well(job.identity)
+            self._trials.record_success(job.identity)
--- a/packages/router/seamhold/keeper.py
+++ b/packages/router/seamhold/settings_task.py
@@ -13,7 +13,7 @@
 from seamhold_settings import Candidate, InForce, Step, Tree
 
 from .metrics import Metrics
-from .tasks import Ask, Task
+from .tasks import Query, Task
 
 #: Maximum wait for the reply to an offer, in seconds.
 OFFER_SECONDS = 5.0
@@ -28,20 +28,20 @@
     ready: bool
 
 
-class Offer(Ask):
+class OfferSettings(Query):
     """Offers versions from the platform or a peer; the reply is a Step for each."""
 
     candidates: list[Candidate]
     source: str
 
 
-class WantNewer(Ask):
-    """Asks for the objects that are newer than the revisions in `known`."""
+class GetNewerSettings(Query):
+    """Asks for the objects that are newer than the given revisions."""
 
-    known: dict[str, int]
+    revisions: dict[str, int]
 
 
-class WantKnown(Ask):
+class GetRevisions(Query):
     """Asks for the revision of every object in force."""
 
 
@@ -53,11 +53,11 @@
     rejected: dict[str, str]
 
 
-class WantSettingsReport(Ask):
+class GetSettingsReport(Query):
     """Asks for a SettingsReport."""
 
 
-class SettingsKeeper(Task):
+class SettingsTask(Task):
     """Owns the settings in force; calls `on_change` with the tree after each change."""
 
     name = 'settings'
@@ -68,30 +68,30 @@
         self._metrics = metrics
         self._on_change = on_change
         self.ready = threading.Event()
-        self.snapshot = self._take_snapshot()
+        self.snapshot = self._make_snapshot()
         self.handlers = {
-            Offer: self._offer,
-            WantNewer: lambda message: self._state.newer_than(message.known),
-            WantKnown: lambda message: self._state.known(),
-            WantSettingsReport: self._report,
+            OfferSettings: self._offer,
+            GetNewerSettings: lambda message: self._state.newer_than(message.revisions),
+            GetRevisions: lambda message: self._state.known(),
+            GetSettingsReport: self._report,
         }
 
-    def _take_snapshot(self) -> SettingsSnapshot:
+    def _make_snapshot(self) -> SettingsSnapshot:
         state = self._state
         return SettingsSnapshot(state.tree, state.total(), state.fingerprint(), state.ready)
 
-    def _offer(self, message: Offer) -> list[Step]:
+    def _offer(self, message: OfferSettings) -> list[Step]:
         steps = [self._state.offer(candidate) for candidate in message.candidates]
         for candidate, step in zip(message.candidates, steps, strict=True):
-            self._note(candidate, step, message.source)
+            self._log_step(candidate, step, message.source)
         if Step.TAKEN in steps:
-            self.snapshot = self._take_snapshot()
+            self.snapshot = self._make_snapshot()
             self._on_change(self.snapshot.tree)
             if self.snapshot.ready:
                 self.ready.set()
         return steps
 
-    def _note(self, candidate: Candidate, step: Step, source: str) -> None:
+    def _log_step(self, candidate: Candidate, step: Step, source: str) -> None:
         if step is Step.SAME:
             return
         self._metrics.count(f'settings.{step}')
@@ -104,6 +104,6 @@
             edit=candidate.edit_id,
         )
 
-    def _report(self, _: WantSettingsReport) -> SettingsReport:
+    def _report(self, _: GetSettingsReport) -> SettingsReport:
         edits = {name: held.edit_id for name, held in self._state.objects.items()}
         return SettingsReport(self._state.known(), edits, dict(self._state.rejected))
--- a/packages/router/seamhold/streams.py
+++ b/packages/router/seamhold/streams.py
@@ -11,7 +11,7 @@
 PENDING_MAX_BYTES = 1024 * 1024
 
 
-class StreamWatch:
+class EventStreamCheck:
     """Passes on whole events only, and tracks the state of the stream.
 
     `events` counts the events with data that were passed on, which is the position from
--- a/packages/router/seamhold/tasks.py
+++ b/packages/router/seamhold/tasks.py
@@ -16,7 +16,7 @@
 WAKE_SLACK_SECONDS = 0.002
 
 
-class Ask(Struct, kw_only=True):
+class Query(Struct, kw_only=True):
     """Base of messages that get a reply."""
 
     reply: Future = field(default_factory=Future)
@@ -56,7 +56,7 @@
         """Queue a message; messages are handled in order."""
         self._queue.put(message)
 
-    def ask(self, message: Ask) -> Future:
+    def query(self, message: Query) -> Future:
         """Queue a message and return a future of its reply."""
         # The future cannot be cancelled from here on: setting the result of a cancelled
         # future would raise an error in the task, for example after a peer cancels its call.
@@ -64,19 +64,19 @@
         self.send(message)
         return message.reply
 
-    def patience(self) -> float | None:
-        """Return the seconds until `idle` must be called, or None for never."""
+    def next_timeout(self) -> float | None:
+        """Return the seconds until `on_timeout` must be called, or None for never."""
         return None
 
-    def idle(self) -> None:
-        """Called when the time that `patience` returned has passed."""
+    def on_timeout(self) -> None:
+        """Called when the time that `next_timeout` returned has passed."""
 
     def _run(self) -> None:
         while True:
             try:
-                message = self._queue.get(timeout=self.patience())
+                message = self._queue.get(timeout=self.next_timeout())
             except queue.Empty:
-                self._guard(self.idle)
+                self._guard(self.on_timeout)
                 continue
             if isinstance(message, Stop):
                 return
@@ -84,7 +84,7 @@
 
     def _handle(self, message: object) -> None:
         handler = self.handlers[type(message)]
-        if not isinstance(message, Ask):
+        if not isinstance(message, Query):
             self._guard(handler, message)
             return
         try:
@@ -110,7 +110,7 @@
     A thread that finds the task unused handles its own message and those that arrive
     meanwhile; a thread that finds it in use only queues its message.  A message therefore
     costs no thread switch unless two threads send at the same time.  The task's own thread
-    only runs the timer: it sleeps for the time that `patience` returns.
+    only runs the timer: it sleeps for the time that `next_timeout` returns.
 
     This saves processor time if messages are many and small: 24 boxes under low load for
     50 s used 27 s, against 38 s with a queue and a decision thread woken every 0.05 s.
@@ -119,8 +119,8 @@
     def __init__(self):
         super().__init__()
         self._waiting: deque[object] = deque()
-        self._turn = threading.Lock()
-        self._alarm = threading.Event()
+        self._lock = threading.Lock()
+        self._wake_event = threading.Event()
         self._stopped = False
         #: When the task's own thread wakes, on the box's clock.
         self._wakes_at = math.inf
@@ -128,23 +128,23 @@
     def stop(self) -> None:
         """Stop the task's own thread."""
         self._stopped = True
-        self._alarm.set()
+        self._wake_event.set()
         if self._thread.is_alive():
             self._thread.join(timeout=5.0)
 
     def send(self, message: object) -> None:
         """Queue a message; it is handled in order, by this thread if the task is unused."""
         self._waiting.append(message)
-        self._work()
+        self._handle_if_unused()
 
-    def _work(self) -> None:
+    def _handle_if_unused(self) -> None:
         # Checked again after each release of the lock: a message may arrive just before it.
-        while self._waiting and self._turn.acquire(blocking=False):
+        while self._waiting and self._lock.acquire(blocking=False):
             try:
                 self._handle_waiting()
                 self._wake_in_time()
             finally:
-                self._turn.release()
+                self._lock.release()
 
     def _handle_waiting(self) -> None:
         while self._waiting:
@@ -153,20 +153,20 @@
     def _wake_in_time(self) -> None:
         """Wake the task's own thread if its sleep would now last too long."""
         if self._next_wake() < self._wakes_at - WAKE_SLACK_SECONDS:
-            self._alarm.set()
+            self._wake_event.set()
 
     def _next_wake(self) -> float:
-        patience = self.patience()
-        return math.inf if patience is None else boot_seconds() + patience
+        timeout = self.next_timeout()
+        return math.inf if timeout is None else boot_seconds() + timeout
 
     def _run(self) -> None:
         while not self._stopped:
-            with self._turn:
+            with self._lock:
                 self._wakes_at = self._next_wake()
             left = self._wakes_at - boot_seconds()
-            woken = self._alarm.wait(None if left == math.inf else max(0.0, left))
-            self._alarm.clear()
+            woken = self._wake_event.wait(None if left == math.inf else max(0.0, left))
+            self._wake_event.clear()
             if not woken:
-                with self._turn:
-                    self._guard(self.idle)
-            self._work()
+                with self._lock:
+                    self._guard(self.on_timeout)
+            self._handle_if_unused()
--- a/packages/router/seamhold/tickets.py
+++ b/packages/router/seamhold/tickets.py
@@ -6,10 +6,10 @@
 
 from seamhold_attempts.tickets import TicketBook, TicketName
 
-from .tasks import Ask, Task
+from .tasks import Query, Task
 
 
-class MintTickets(Ask):
+class IssueTickets(Query):
     """Requests new tickets; `lifetime` is in seconds."""
 
     workspace: str
@@ -17,7 +17,7 @@
     lifetime: float
 
 
-class BeginTicket(Ask):
+class BeginTicket(Query):
     """Marks a ticket used before its call is sent; fails if the call was sent before."""
 
     ticket: TicketName
@@ -37,24 +37,28 @@
     ticket: TicketName
 
 
-class TicketDesk(Task):
+class TicketTask(Task):
     """Owns the tickets of this box's incarnation."""
 
     name = 'tickets'
 
-    def __init__(self, book: TicketBook, clock: Callable[[], float]):
+    def __init__(self, ticket_store: TicketBook, clock: Callable[[], float]):
         super().__init__()
-        self._book = book
+        self._ticket_store = ticket_store
         self._clock = clock
         self.handlers = {
-            MintTickets: self._mint,
+            IssueTickets: self._issue,
             BeginTicket: self._begin,
-            TicketNotRun: lambda message: book.not_run(message.ticket),
-            TicketDone: lambda message: book.done(message.ticket),
+            TicketNotRun: lambda message: ticket_store.not_run(message.ticket),
+            TicketDone: lambda message: ticket_store.done(message.ticket),
         }
 
-    def _mint(self, message: MintTickets) -> list[str]:
-        return self._book.mint(message.workspace, message.count, message.lifetime, self._clock())
+    def _issue(self, message: IssueTickets) -> list[str]:
+        return self._ticket_store.mint(
+            message.workspace, message.count, message.lifetime, self._clock()
+        )
 
     def _begin(self, message: BeginTicket) -> None:
-        self._book.begin(message.ticket, message.workspace, message.body_hash, self._clock())
+        self._ticket_store.begin(
+            message.ticket, message.workspace, message.body_hash, self._clock()
+        )
--- a/tests/test_case_store.py
+++ b/tests/test_case_store.py
@@ -62,13 +62,13 @@
         self.keep('dropped')
         decider = Decider(Router('box-1', 'start'), lambda: 0.0)
         cases = CaseStore('box-1', self.store, decider, lambda: ROSTER, lambda: 0.0, Metrics())
-        known = {'dropped': [proven('dropped'), None], 'kept': [proven('kept')]}
-        self.patch(cases, 'take', lambda objects: None)
-        self.patch(cases, '_case', lambda request: known[request].pop(0))
+        replies = {'dropped': [proven('dropped'), None], 'kept': [proven('kept')]}
+        self.patch(cases, 'merge_objects', lambda objects: None)
+        self.patch(cases, '_case', lambda request: replies[request].pop(0))
         cases.start()
         self.addCleanup(cases.stop)
-        cases.join_soon('dropped')
-        cases.join('kept')
+        cases.synchronize_soon('dropped')
+        cases.synchronize('kept')
         self.assertEqual(['dropped', 'kept'], sorted(self.kept()))
 
     def test_an_unreadable_object_stays(self):
--- a/tests/test_engine_uses.py
+++ b/tests/test_engine_uses.py
@@ -57,19 +57,19 @@
         self.metrics = Metrics()
         self.uses = EngineUses(self.metrics)
 
-    def note(self, *phases: Phase) -> None:
-        self.uses.note([view_of(*phases).use(SERVICE, 0.0)])
+    def record(self, *phases: Phase) -> None:
+        self.uses.record([view_of(*phases).use(SERVICE, 0.0)])
 
     def test_a_service_is_logged_once_above_a_third_unused_and_once_when_below_again(self):
         for _ in range(2):
-            self.note(Phase.LEAVING, Phase.LEAVING, Phase.LIVE)
-        self.note(Phase.LEAVING, Phase.LIVE, Phase.LIVE)
+            self.record(Phase.LEAVING, Phase.LEAVING, Phase.LIVE)
+        self.record(Phase.LEAVING, Phase.LIVE, Phase.LIVE)
         lines = [json.loads(line) for line in self.logs.getvalue().splitlines()]
         self.assertEqual([True, False], [line['above_share'] for line in lines])
         self.assertEqual((1, {'leaving': 2}), (lines[0]['used'], lines[0]['unused']))
 
     def test_the_metrics_page_has_a_gauge_for_each_reason(self):
-        self.note(Phase.LEAVING, Phase.LIVE)
+        self.record(Phase.LEAVING, Phase.LIVE)
         page = self.metrics.page().decode()
         self.assertIn('seamhold_engines{service="llm",use="in_use"} 1.0', page)
         self.assertIn('seamhold_engines{service="llm",use="leaving"} 1.0', page)
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -5,9 +5,9 @@
 
 import testtools
 
-from seamhold.decider import LOOK_SECONDS, Decider
-from seamhold.decisions import Admit, WantReport
-from seamhold.tasks import Ask, SerialTask, Task
+from seamhold.decider import CHECK_SECONDS, Decider
+from seamhold.decisions import Admit, GetReport
+from seamhold.tasks import Query, SerialTask, Task
 from seamhold_messages.fleet import Engine
 from seamhold_messages.work import Call, Placed, Work
 from seamhold_routing import Router
@@ -15,10 +15,10 @@
 from seamhold_settings.schema import Placement
 
 WAIT_SECONDS = 5
-PATIENCE_SECONDS = 0.05
+TIMEOUT_SECONDS = 0.05
 
 
-class Add(Ask):
+class Add(Query):
     """Adds a number and asks for the sum; `then` is sent before the reply."""
 
     number: int
@@ -35,16 +35,16 @@
         self.total = 0
         self.order = []
         self.threads = []
-        self.idles = 0
+        self.timeouts = 0
         self.due_in: float | None = None
         self.woken = threading.Event()
         self.handlers = {Add: self._add}
 
-    def patience(self) -> float | None:
+    def next_timeout(self) -> float | None:
         return self.due_in
 
-    def idle(self) -> None:
-        self.idles += 1
+    def on_timeout(self) -> None:
+        self.timeouts += 1
         self.due_in = None
         self.woken.set()
 
@@ -81,9 +81,9 @@
         task.start()
         self.addCleanup(task.stop)
         for number in (1, 2):
-            task.ask(Add(number)).cancel()
+            task.query(Add(number)).cancel()
         task.may_answer.set()
-        self.assertEqual(3, task.ask(Add(3)).result(WAIT_SECONDS))
+        self.assertEqual(3, task.query(Add(3)).result(WAIT_SECONDS))
 
 
 class TestSerialTask(testtools.TestCase):
@@ -94,7 +94,7 @@
         self.addCleanup(self.task.stop)
 
     def test_a_message_is_handled_by_the_thread_that_sends_it(self):
-        answer = self.task.ask(Add(2))
+        answer = self.task.query(Add(2))
         self.assertTrue(answer.done())
         self.assertEqual(2, answer.result())
         self.assertEqual([threading.current_thread()], self.task.threads)
@@ -113,21 +113,21 @@
             thread.start()
         for thread in threads:
             thread.join(WAIT_SECONDS)
-        self.assertEqual(4001, self.task.ask(Add(1)).result(WAIT_SECONDS))
+        self.assertEqual(4001, self.task.query(Add(1)).result(WAIT_SECONDS))
 
     def test_a_handler_error_fails_only_its_own_query(self):
-        answer = self.task.ask(Add('none'))
+        answer = self.task.query(Add('none'))
         self.assertRaises(TypeError, answer.result)
-        self.assertEqual(1, self.task.ask(Add(1)).result())
+        self.assertEqual(1, self.task.query(Add(1)).result())
 
-    def test_idle_is_called_only_when_it_is_due(self):
+    def test_the_timeout_handler_is_called_only_when_it_is_due(self):
         self.task.send(Add(1))
-        self.assertFalse(self.task.woken.wait(2 * PATIENCE_SECONDS))
-        self.task.due_in = PATIENCE_SECONDS
+        self.assertFalse(self.task.woken.wait(2 * TIMEOUT_SECONDS))
+        self.task.due_in = TIMEOUT_SECONDS
         # The task's thread sleeps without a timeout: a message makes it compute a new one.
         self.task.send(Add(1))
         self.assertTrue(self.task.woken.wait(WAIT_SECONDS))
-        self.assertEqual(1, self.task.idles)
+        self.assertEqual(1, self.task.timeouts)
 
 
 class TestDeciderAtRest(testtools.TestCase):
@@ -151,21 +151,21 @@
     def pass_time(self, seconds: float) -> None:
         """Advance the clock from one due time to the next."""
         ends = self.now + seconds
-        while self.now + self.decider.patience() < ends:
-            self.now += self.decider.patience()
-            self.decider.idle()
+        while self.now + self.decider.next_timeout() < ends:
+            self.now += self.decider.next_timeout()
+            self.decider.on_timeout()
         self.now = ends
 
     def test_an_unused_box_checks_its_state_twice_a_second(self):
         self.pass_time(10.0)
-        self.assertLessEqual(self.ticks, 10 / LOOK_SECONDS + 1)
+        self.assertLessEqual(self.ticks, 10 / CHECK_SECONDS + 1)
 
     def test_a_queued_call_is_checked_when_its_wait_ends(self):
         self.router.set_engines([Engine('e', 's', 'e:1', slots=1)], 0.0)
         self.pass_time(1.2)
-        placed = self.decider.ask(Admit(Call('one', 'w', 's', 'chat', Work(1, 1), 60.0)))
+        placed = self.decider.query(Admit(Call('one', 'w', 's', 'chat', Work(1, 1), 60.0)))
         self.assertIsInstance(placed.result(), Placed)
-        waiting = self.decider.ask(Admit(Call('two', 'w', 's', 'chat', Work(1, 1), 2.0)))
+        waiting = self.decider.query(Admit(Call('two', 'w', 's', 'chat', Work(1, 1), 2.0)))
         self.assertFalse(waiting.done())
         self.pass_time(1.0)
         self.assertTrue(waiting.done())
@@ -174,17 +174,17 @@
         self.router.set_engines([Engine('e', 's', 'e:1')], 0.0)
         self.pass_time(1.0)
         call = Call('one', 'w', 's', 'chat', Work(1, 1), 60.0, objective=0.15)
-        self.decider.ask(Admit(call)).result()
-        self.assertAlmostEqual(0.3, self.decider.patience(), 3)
+        self.decider.query(Admit(call)).result()
+        self.assertAlmostEqual(0.3, self.decider.next_timeout(), 3)
         self.pass_time(0.31)
         self.assertEqual({'e': 1}, self.router.health.failures.own(self.now))
 
     def test_the_next_message_after_the_due_time_causes_a_tick(self):
         before = self.ticks
-        self.now += LOOK_SECONDS
-        self.decider.ask(WantReport()).result()
+        self.now += CHECK_SECONDS
+        self.decider.query(GetReport()).result()
         self.router.set_engines([], self.now)
-        self.decider.idle()
+        self.decider.on_timeout()
         self.assertEqual(before + 1, self.ticks)
 
 
@@ -192,13 +192,13 @@
     def test_a_task_with_nothing_due_sleeps_without_a_timeout(self):
         task = Sum()
         waits = []
-        waiting = task._alarm.wait
+        waiting = task._wake_event.wait
 
         def wait(timeout):
             waits.append(timeout)
             return waiting(timeout)
 
-        task._alarm.wait = wait
+        task._wake_event.wait = wait
         task.start()
         self.addCleanup(task.stop)
         time.sleep(0.2)
