--- a/packages/router/seamhold/runner.py
+++ b/packages/router/seamhold/runner.py
@@ -1,4 +1,4 @@
-"""Runs one call: a place, an attempt, and what follows from how it ended."""
+"""Runs one call: placement, attempts and retries."""
 
 from collections.abc import Iterator
 from concurrent.futures import Future
@@ -26,7 +26,16 @@
 from .budgets import RetryBudgets
 from .context import Environment
 from .decider import Decider
-from .decisions import Abandon, Admit, Again, Attempted, Began, Closed, EngineLeaving, EngineTold
+from .decisions import (
+    AbandonCall,
+    Admit,
+    AnswerStarted,
+    AttemptEnded,
+    CallClosed,
+    EngineLeaving,
+    EngineLoadReported,
+    RetryCall,
+)
 from .job import Attempt, Job
 from .logs import logger
 from .metrics import Metrics
@@ -39,20 +48,20 @@
     OpenAnswer,
     StreamCheck,
 )
-from .trials import WAIT_SECONDS, Trials
+from .trials import TRIAL_WAIT_SECONDS, Trials
 
-#: Slack for the decider to answer after a call's own time is up.
+#: Time for the decider to reply after a call's deadline, in seconds.
 DECIDER_SLACK_SECONDS = 0.2
-#: Backend servers that a call may wait for in vain: each costs the whole time for a
-#: connection.  Those that ended refuse within a round trip and are not counted: a call
-#: tries each once, and its box avoids them from then on.
+#: Maximum number of backend servers that may fail to answer a call's connection attempt:
+#: each costs the whole connect timeout.  Servers that have ended refuse within a round trip
+#: and are not counted: a call tries each once, and the box then avoids them.
 SILENT_MAX = 4
-#: Ways for an attempt to fail that may be the end of its engine.
-BREAKS = frozenset({Outcome.FAILED, Outcome.BROKEN})
+#: Outcomes that may mean that the engine ended.
+ENGINE_END_OUTCOMES = frozenset({Outcome.FAILED, Outcome.BROKEN})
 
 
 class Runner:
-    """Runs calls to their end on request threads."""
+    """Runs calls to completion on request threads."""
 
     def __init__(
         self,
@@ -72,55 +81,57 @@
         self._log = logger('runner')
 
     def run(self, job: Job) -> Answer:
-        """Give the call's answer, or raise the failure its caller is told."""
+        """Return the call's answer, or raise the error that its caller receives."""
         begun = False
         try:
-            self._permit(job, WAIT_SECONDS)
-            placed = self._await(job, self._decider.ask(Admit(job.call)))
+            self._permit(job, TRIAL_WAIT_SECONDS)
+            placed = self._await_placement(job, self._decider.query(Admit(job.call)))
             job.guard.begin(self._remaining(job))
             begun = True
             self._check_time(job)
-            self._permit_still(job)
+            self._recheck_permission(job)
             self._budgets.record_first_attempt(job.call.service)
             return self._attempts(job, placed)
         except SeamholdError as error:
             self._close(job)
-            raise self._told(job, error, begun) from error
+            raise self._caller_error(job, error, begun) from error
         except BaseException:
             self._close(job)
             raise
 
     def _permit(self, job: Job, patience: float) -> None:
-        """Let the call run if it may, as others do or alone; waits `patience` seconds for that.
+        """Wait at most `patience` seconds for permission to run, normally or as a trial.
 
-        Raises RequestQuarantined or RequestOnTrial: then it has not run and will not.
+        Raises RequestQuarantined or RequestOnTrial if the call must not run; then nothing
+        is sent to an engine.
         """
         identity = job.identity
         self._trials.catch_up()
-        if not self._trials.is_watched(identity):
+        if not self._trials.needs_permission(identity):
             return
         seconds = self._remaining(job)
-        ask = TrialRequest(identity.digest, job.call.id, seconds)
-        job.on_trial = self._trials.permit(
-            ask, job.call.service, min(patience, seconds), job.cancellation
+        trial = TrialRequest(identity.digest, job.call.id, seconds)
+        job.on_trial = self._trials.request_permission(
+            trial, job.call.service, min(patience, seconds), job.cancellation
         )
         if job.on_trial:
-            # Where fewest calls run fewest die with it, if it does end its engine.
+            # If it ends its engine, the one with the fewest calls loses the fewest.
             job.call = replace(job.call, sticky=False)
 
-    def _permit_still(self, job: Job) -> None:
-        """Ask again before an attempt: the call may have waited, or met engines that refuse.
+    def _recheck_permission(self, job: Job) -> None:
+        """Check the permission again before an attempt.
 
-        Meanwhile others may have ended under copies of it.  It has a place by now and waits no
-        more, so that suspects hold no place that others could use.
+        While the call was queued or refused by engines, other engines may have ended under
+        copies of it.  It does not wait here: it already has a placement, and suspects must
+        not keep one that other calls could use.
         """
         if job.on_trial:
-            self._trials.check_proof(job.identity.digest)
+            self._trials.check_quarantine(job.identity.digest)
         else:
             self._permit(job, 0.0)
 
-    def _told(self, job: Job, error: SeamholdError, begun: bool) -> SeamholdError:
-        """The failure as the caller is told: the truth of all attempts."""
+    def _caller_error(self, job: Job, error: SeamholdError, begun: bool) -> SeamholdError:
+        """Return the caller's error, with `ran` set for all attempts, and end the guard."""
         if job.maybe_ran:
             error.ran = Ran.UNKNOWN
         if begun and not job.maybe_ran:
@@ -133,13 +144,13 @@
         return job.call.deadline - self._environment.monotonic()
 
     def _check_time(self, job: Job) -> None:
-        # A box may have been frozen between its decision and this line.
+        # The process may have been suspended between the decision and this line.
         if self._remaining(job) <= 0:
             raise DeadlinePassed('the time ran out before the call was sent')
 
-    def _await(self, job: Job, reply: Future) -> Placed:
+    def _await_placement(self, job: Job, reply: Future) -> Placed:
         wait = max(0.0, self._remaining(job)) + DECIDER_SLACK_SECONDS
-        job.cancellation.attach(lambda: self._decider.send(Abandon(job.call.id)))
+        job.cancellation.attach(lambda: self._decider.send(AbandonCall(job.call.id)))
         try:
             decision = reply.result(wait)
         except FutureTimeout as error:
@@ -156,14 +167,14 @@
                 return self._attempt(job, placed)
             except AttemptFailed as failure:
                 try:
-                    placed = self._next_place(job, placed, failure, passed=False)
+                    placed = self._next_place(job, placed, failure, streaming=False)
                 except SeamholdError as error:
                     return self._engine_failure(job, placed, failure, error)
 
     def _engine_failure(
         self, job: Job, placed: Placed, failure: AttemptFailed, error: SeamholdError
     ) -> Answer:
-        """What the engine itself answered, if that is the last word."""
+        """Return the engine's own failure answer if there is one, else raise `error`."""
         if failure.answer is None or isinstance(error, CallerLeft):
             raise error
         job.guard.done()
@@ -175,8 +186,8 @@
     def _attempt(self, job: Job, placed: Placed) -> Answer:
         answer = self._open(job, placed, job.request)
         if job.streamed and answer.status < 400:
-            passed = self._pass(job, placed, answer)
-            return Answer(answer.status, dict(answer.headers), passed, placed)
+            stream = self._stream(job, placed, answer)
+            return Answer(answer.status, dict(answer.headers), stream, placed)
         try:
             body = answer.whole()
         finally:
@@ -185,58 +196,63 @@
         return Answer(answer.status, dict(answer.headers), body, placed)
 
     def _open(self, job: Job, placed: Placed, request: EngineRequest) -> OpenAnswer:
-        """Begin one attempt; counted by whether it reached its server."""
+        """Start one attempt and count it by whether it reached its server."""
         job.attempts.append(Attempt(placed, self._environment.monotonic()))
         try:
             answer = self._engines.open(placed, request, self._remaining(job), job.cancellation)
         except AttemptFailed as failure:
             if failure.outcome is not Outcome.NOT_SENT:
                 job.sent += 1
-            elif not failure.nobody_listens:
+            elif not failure.connection_refused:
                 job.silent += 1
             if failure.outcome in REFUSALS:
                 job.attempts[-1].refusal = failure.refusal
                 self._metrics.count(f'engine_refused.{failure.refusal}')
-            self._note_load(job, placed, failure.load)
+            self._record_load(job, placed, failure.load)
             raise
         job.sent += 1
-        self._note_load(job, placed, answer.load)
-        job.attempts[-1].answered = self._environment.monotonic()
-        self._decider.send(Began(job.call.id))
+        self._record_load(job, placed, answer.load)
+        job.attempts[-1].answered_at = self._environment.monotonic()
+        self._decider.send(AnswerStarted(job.call.id))
         return answer
 
-    def _note_load(self, job: Job, placed: Placed, load: EngineLoad | None) -> None:
+    def _record_load(self, job: Job, placed: Placed, load: EngineLoad | None) -> None:
         if load is None:
             return
-        job.attempts[-1].told = load
-        # The call itself was not there yet when it was placed.
+        job.attempts[-1].reported_load = load
+        # The call itself was not part of the load when it was placed.
         self._metrics.belief_error(job.call.service, load.requests - placed.load - 1)
-        began = job.attempts[-1].began
-        self._decider.send(EngineTold(placed.engine, load.requests, began))
+        began_at = job.attempts[-1].began_at
+        self._decider.send(EngineLoadReported(placed.engine, load.requests, began_at))
+
+    def _next_place(
+        self, job: Job, placed: Placed, failure: AttemptFailed, streaming: bool
+    ) -> Placed:
+        """Return the placement for a retry; raises if the call must not be retried.
 
-    def _next_place(self, job: Job, placed: Placed, failure: AttemptFailed, passed: bool) -> Placed:
-        """Where the call goes after a failed attempt; raises if nowhere."""
-        self._note_attempt(job, failure.outcome, failure.error.code)
+        `streaming` tells whether a part of the answer may already have been passed on.
+        """
+        self._record_attempt(job, failure.outcome, failure.error.code)
         if failure.outcome not in NOT_RUN:
             job.maybe_ran = True
         if job.cancellation.cancelled:
-            self._decider.send(Attempted(job.call.id, Outcome.CANCELLED))
+            self._decider.send(AttemptEnded(job.call.id, Outcome.CANCELLED))
             raise CallerLeft('the caller closed its connection')
-        may_go_on = self._may_go_on(job, failure, passed)
+        retry_allowed = self._may_retry(job, failure, streaming)
         if self._has_ended(placed, failure):
-            ends = self._note_end(job, placed, may_go_on)
-            # Of a second end the call may be the cause: what a box tries again by itself
-            # ends engines faster than anybody learns of it.
-            may_go_on = may_go_on and not job.on_trial and ends < SUSPECT_ENDS
+            ends = self._record_engine_end(job, placed, retry_allowed)
+            # The call may be the cause of a second end: automatic retries would end engines
+            # faster than the boxes learn of it.
+            retry_allowed = retry_allowed and not job.on_trial and ends < SUSPECT_ENDS
         if failure.leaving:
             self._decider.send(EngineLeaving(placed.engine))
         self._metrics.count(f'attempt_failed.{failure.error.code}')
-        if not may_go_on:
-            self._decider.send(Attempted(job.call.id, failure.outcome))
+        if not retry_allowed:
+            self._decider.send(AttemptEnded(job.call.id, failure.outcome))
             raise failure.error
         if not self._within_budget(job, failure):
             self._metrics.count('retry.budget_spent')
-            self._decider.send(Attempted(job.call.id, failure.outcome))
+            self._decider.send(AttemptEnded(job.call.id, failure.outcome))
             raise failure.error if job.maybe_ran else RetryBudgetSpent(failure.error.detail, 1.0)
         self._metrics.count(f'retry.{failure.outcome}')
         self._log.info(
@@ -246,31 +262,34 @@
             outcome=failure.outcome,
             code=failure.error.code,
         )
-        again = Again(job.call.id, placed.engine, failure.outcome)
-        found = self._await(job, self._decider.ask(again))
+        retry = RetryCall(job.call.id, placed.engine, failure.outcome)
+        next_placed = self._await_placement(job, self._decider.query(retry))
         self._check_time(job)
         try:
-            self._permit_still(job)
+            self._recheck_permission(job)
         except (RequestQuarantined, RequestOnTrial) as refusal:
-            # Of one that may have run the caller must not be told that it was not.
+            # The refusal says that the call did not run, which is wrong if it may have run.
             raise (failure.error if job.maybe_ran else refusal) from refusal
-        return found
+        return next_placed
 
     def _has_ended(self, placed: Placed, failure: AttemptFailed) -> bool:
-        """Whether the engine ended under the call: a cut or a wrong answer may be less."""
-        if failure.outcome not in BREAKS or isinstance(failure.error, AnswerTimeout):
+        """Whether the engine's process ended under the call.
+
+        A connection that is cut or an invalid answer may have another cause.
+        """
+        if failure.outcome not in ENGINE_END_OUTCOMES or isinstance(failure.error, AnswerTimeout):
             return False
         return self._engines.has_ended(placed)
 
-    def _note_end(self, job: Job, placed: Placed, wanted: bool) -> int:
-        """Tell which call an engine ended under; how many have under its request.
+    def _record_engine_end(self, job: Job, placed: Placed, count_needed: bool) -> int:
+        """Report that an engine ended under a call; return the number of ends of its request.
 
-        The number is joined with what other boxes met only where it is `wanted`.
+        The number includes the ends that other boxes know only if `count_needed` is set.
         """
         self._metrics.count('engine_ended_under_call')
         attempt = job.attempts[-1]
         identity = job.identity
-        ends = self._trials.ended(identity, placed, job.on_trial, wanted)
+        ends = self._trials.record_engine_end(identity, placed, job.on_trial, count_needed)
         self._log.warning(
             'engine.ended_under_call',
             request_id=job.call.id,
@@ -278,38 +297,38 @@
             engine=placed.engine,
             service=job.call.service,
             workspace=job.call.workspace,
-            begun=attempt.answered is not None,
+            begun=attempt.answered_at is not None,
             on_trial=job.on_trial,
             ends=ends,
             seconds=round(attempt.seconds, 3),
         )
         return ends
 
-    def _note_attempt(self, job: Job, outcome: Outcome, code: str = '') -> None:
+    def _record_attempt(self, job: Job, outcome: Outcome, code: str = '') -> None:
         attempt = job.attempts[-1]
         attempt.outcome = outcome
         attempt.code = code
-        attempt.seconds = self._environment.monotonic() - attempt.began
+        attempt.seconds = self._environment.monotonic() - attempt.began_at
 
     @staticmethod
-    def _may_go_on(job: Job, failure: AttemptFailed, passed: bool) -> bool:
-        """Whether the route's rule allows another attempt."""
+    def _may_retry(job: Job, failure: AttemptFailed, streaming: bool) -> bool:
+        """Whether the route's retry rule allows another attempt."""
         if failure.outcome is Outcome.NOT_SENT:
-            return job.silent < SILENT_MAX and (not passed or job.rule.repeatable)
-        resumes = passed and job.rule.repeatable
-        return may_retry(job.rule, failure.outcome, job.sent, passed and not resumes)
+            return job.silent < SILENT_MAX and (not streaming or job.rule.repeatable)
+        resumes = streaming and job.rule.repeatable
+        return may_retry(job.rule, failure.outcome, job.sent, streaming and not resumes)
 
     def _within_budget(self, job: Job, failure: AttemptFailed) -> bool:
-        """Whether the fleet's budget allows it; what was not sent costs nothing."""
+        """Whether the retry budget allows another attempt; a call that was not sent is free."""
         if failure.outcome is Outcome.NOT_SENT:
             return True
         return self._budgets.take(job.call.service)
 
-    def _pass(self, job: Job, placed: Placed, answer: OpenAnswer) -> Iterator[bytes]:
-        """The stream as it comes, resumed elsewhere if it may be.
+    def _stream(self, job: Job, placed: Placed, answer: OpenAnswer) -> Iterator[bytes]:
+        """Yield the stream as it arrives, and resume it at another engine if allowed.
 
-        The finally clause also runs when the caller leaves: it cancels the
-        call at the engine.
+        The finally clause also runs when the caller disconnects: it cancels the call at
+        the engine.
         """
         watch = self._engines.stream_check(job.request)
         outcome = Outcome.CANCELLED
@@ -322,7 +341,7 @@
                 except AttemptFailed as failure:
                     outcome = failure.outcome
                     answer.close()
-                    placed = self._next_place(job, placed, failure, passed=True)
+                    placed = self._next_place(job, placed, failure, streaming=True)
                     outcome = Outcome.CANCELLED
                     answer = self._resume(job, placed, watch)
         except SeamholdError as error:
@@ -333,7 +352,7 @@
             self._finish(job, outcome)
 
     def _resume(self, job: Job, placed: Placed, watch: StreamCheck) -> OpenAnswer:
-        """Open the rest of the stream at another engine."""
+        """Open the remainder of the stream at another engine."""
         watch.restart()
         request = job.request
         if watch.position:
@@ -342,7 +361,7 @@
             try:
                 return self._open(job, placed, request)
             except AttemptFailed as failure:
-                placed = self._next_place(job, placed, failure, passed=True)
+                placed = self._next_place(job, placed, failure, streaming=True)
 
     @staticmethod
     def _events(watch: StreamCheck, answer: OpenAnswer) -> Iterator[bytes]:
@@ -358,16 +377,16 @@
 
     def _finish(self, job: Job, outcome: Outcome) -> None:
         if outcome in (Outcome.DONE, Outcome.CANCELLED):
-            self._note_attempt(job, outcome)
-        self._decider.send(Attempted(job.call.id, outcome))
+            self._record_attempt(job, outcome)
+        self._decider.send(AttemptEnded(job.call.id, outcome))
         job.guard.done()
         job.answered = outcome is Outcome.DONE
         self._close(job)
 
     def _close(self, job: Job) -> None:
-        self._decider.send(Closed(job.call.id))
+        self._decider.send(CallClosed(job.call.id))
         if job.on_trial:
             job.on_trial = False
-            self._trials.over(job.identity.digest, job.call.id, job.answered)
+            self._trials.report_trial_end(job.identity.digest, job.call.id, job.answered)
         if job.answered:
-            self._trials.ended_well(job.identity)
+            self._trials.record_success(job.identity)
--- a/packages/router/seamhold/tickets.py
+++ b/packages/router/seamhold/tickets.py
@@ -6,19 +6,19 @@
 
 from seamhold_attempts.tickets import TicketName, TicketStore
 
-from .tasks import Ask, Task
+from .tasks import Query, Task
 
 
-class MintTickets(Ask):
-    """Asks for fresh tickets; `lifetime` is in seconds."""
+class IssueTickets(Query):
+    """Requests new tickets; `lifetime` is in seconds."""
 
     workspace: str
     count: int
     lifetime: float
 
 
-class BeginTicket(Ask):
-    """A ticketed call is about to be sent; fails if it ever was."""
+class BeginTicket(Query):
+    """Marks a ticket used before its call is sent; fails if the call was sent before."""
 
     ticket: TicketName
     workspace: str
@@ -26,35 +26,39 @@
 
 
 class TicketNotRun(Struct):
-    """The engine is certain not to have run the call."""
+    """Reports that the call of a ticket is certain not to have run."""
 
     ticket: TicketName
 
 
 class TicketDone(Struct):
-    """The ticketed call ended."""
+    """Reports that the call of a ticket has ended."""
 
     ticket: TicketName
 
 
-class TicketDesk(Task):
-    """Owns the ticket book of this box's incarnation."""
+class TicketTask(Task):
+    """Owns the tickets of this box's incarnation."""
 
     name = 'tickets'
 
-    def __init__(self, book: TicketStore, clock: Callable[[], float]):
+    def __init__(self, ticket_store: TicketStore, clock: Callable[[], float]):
         super().__init__()
-        self._book = book
+        self._ticket_store = ticket_store
         self._clock = clock
         self.handlers = {
-            MintTickets: self._mint,
+            IssueTickets: self._issue,
             BeginTicket: self._begin,
-            TicketNotRun: lambda message: book.mark_not_run(message.ticket),
-            TicketDone: lambda message: book.mark_done(message.ticket),
+            TicketNotRun: lambda message: ticket_store.mark_not_run(message.ticket),
+            TicketDone: lambda message: ticket_store.mark_done(message.ticket),
         }
 
-    def _mint(self, message: MintTickets) -> list[str]:
-        return self._book.issue(message.workspace, message.count, message.lifetime, self._clock())
+    def _issue(self, message: IssueTickets) -> list[str]:
+        return self._ticket_store.issue(
+            message.workspace, message.count, message.lifetime, self._clock()
+        )
 
     def _begin(self, message: BeginTicket) -> None:
-        self._book.begin(message.ticket, message.workspace, message.body_hash, self._clock())
+        self._ticket_store.begin(
+            message.ticket, message.workspace, message.body_hash, self._clock()
+        )
