--- a/packages/router/seamhold/entry.py
+++ b/packages/router/seamhold/entry.py
@@ -153,7 +153,7 @@
         except OSError as error:
             # Otherwise cheroot would wait for the rest again before it answers.
             cherrypy.request.wsgi_environ['wsgi.input'].remaining = 0
-            raise CallerTooSlow('timeout while reading the body') from error
+            raise CallerTooSlow('the body was not received in full') from error
 
     def _models(self, workspace: str) -> bytes:
         tree = self._desk.tree
--- a/packages/router/seamhold/holdings_pull.py
+++ b/packages/router/seamhold/holdings_pull.py
@@ -24,7 +24,7 @@
 
 
 class HoldingsPull:
-    """Queries each peer once for all its holdings, and later for what engines reported to it.
+    """Queries peers, each once, for all their holdings, and later for what engines reported.
 
     After all boxes have restarted no box has any holdings: each then queries some of the
     engines, and the other boxes query it.  By digests alone it took two seconds to spread
--- a/packages/router/seamhold/pages.py
+++ b/packages/router/seamhold/pages.py
@@ -15,7 +15,7 @@
 
 
 def page_config() -> dict:
-    """Return a CherryPy configuration without body parsing and tracebacks."""
+    """Return a CherryPy configuration without body parsing and logs: both are done here."""
     return {
         '/': {
             'request.process_request_body': False,
--- a/packages/router/seamhold/peering.py
+++ b/packages/router/seamhold/peering.py
@@ -80,6 +80,7 @@
         self.budget = ByteBudget(control.control_bytes_per_second, now)
         self._addresses: dict[str, str] = {}
         self._clients: dict[str, PeerClient] = {}
+        #: Clients of listed boxes that are not neighbours.
         self._extra_clients: dict[str, PeerClient] = {}
         self._digest_port: DigestPort | None = None
         self._pulls = PeerPulls(decider, keeper, metrics, rng, lambda: self.ready)
--- a/packages/router/seamhold/probing.py
+++ b/packages/router/seamhold/probing.py
@@ -4,8 +4,8 @@
 import time
 from enum import Enum, auto
 
-#: Connect timeout.  A running server accepts within a few round trips, and a machine whose
-#: process ended refuses as fast; a timeout proves neither.
+#: Connect timeout, in seconds.  A running server accepts within a few round trips, and a
+#: machine whose process ended refuses as fast; a timeout shows neither.
 PROBE_SECONDS = 0.1
 #: How long a new connection must stay open to count as accepted, in seconds.  A process that
 #: ends loses its connections some milliseconds before its port: until then it seems to listen,
