--- a/packages/router/seamhold/case_answers.py
+++ b/packages/router/seamhold/case_answers.py
@@ -5,7 +5,7 @@
 from seamhold_peers import CasesPage, EndsKnown
 from seamhold_quarantine import Case, EndReport, Permission, TrialAsk, TrialOver
 
-from .background import answer_of
+from .background import result_of
 from .decider import Decider
 from .decisions import AskTrial, EndTrial, HearCases, HearEnd, WantCases
 
@@ -24,7 +24,7 @@
 
     async def hear_cases(self, cases: tuple[Case, ...]) -> None:
         """A peer tells what it just learned."""
-        await answer_of(self._decider.ask(HearCases(cases)))
+        await result_of(self._decider.ask(HearCases(cases)))
 
     async def engine_ended(self, report: EndReport) -> EndsKnown:
         """An engine ended at a peer; what this box knows of the request."""
--- a/packages/router/seamhold/cases_follower.py
+++ b/packages/router/seamhold/cases_follower.py
@@ -39,14 +39,14 @@
         self._cases = cases
         self._peering = peering
 
-    def wanted(self) -> bool:
+    def should_follow(self) -> bool:
         """Whether boxes are missing, and this is the first of those that are not."""
         roster = self._peering.roster
         if not roster.missing_boxes:
             return False
         return owners(FOLLOWER_KEY, roster.heard_boxes) == [self._box]
 
-    def wait_turn(self) -> None:
+    def wait_for_turn(self) -> None:
         """Wait until boxes are missing, or, where others follow, until the next look at who is.
 
         Copies that come before the first list is read run at boxes that know nothing.
@@ -56,11 +56,11 @@
         else:
             self._peering.boxes_missing.wait(ROSTER_SECONDS)
 
-    def listed(self, objects: list[PlatformObject]) -> None:
+    def on_list(self, objects: list[PlatformObject]) -> None:
         """Take over all that is kept."""
         self._cases.take(objects)
 
-    def changed(self, kind: WatchKind, item: PlatformObject) -> None:
+    def on_change(self, kind: WatchKind, item: PlatformObject) -> None:
         """Take over what was written."""
         if kind is not WatchKind.DELETED:
             self._cases.take([item])
--- a/packages/router/seamhold/decider.py
+++ b/packages/router/seamhold/decider.py
@@ -73,7 +73,7 @@
         self.boxes: ListInUse[Box] = ListInUse()
         self.evacuations: ListInUse[Evacuation] = ListInUse()
         if not follows_evacuations:
-            self.evacuations.known.set()
+            self.evacuations.loaded.set()
         self._events_taken = 0
         #: Whether this box is one that watches the platform's store.
         self.follows_store = True
@@ -237,7 +237,7 @@
         self._tell_news()
 
     def _set_engines(self, message: SetEngines) -> None:
-        if not self.engines.is_news(message.version):
+        if not self.engines.is_update(message.version):
             return
         decisions = self._router.set_engines(message.engines, self._clock())
         self.engines.put(message.engines, message.version)
@@ -245,7 +245,7 @@
         self._deliver(decisions)
 
     def _set_boxes(self, message: SetBoxes) -> None:
-        if not self.boxes.is_news(message.version):
+        if not self.boxes.is_update(message.version):
             return
         self._router.set_boxes(message.boxes, self._clock())
         self.boxes.put(message.boxes, message.version)
@@ -254,7 +254,7 @@
             self.on_boxes(message.boxes)
 
     def _set_evacuations(self, message: SetEvacuations) -> None:
-        if not self.evacuations.is_news(message.version):
+        if not self.evacuations.is_update(message.version):
             return
         decisions = self._router.set_evacuations(message.evacuations, self._clock())
         self.evacuations.put(message.evacuations, message.version)
--- a/packages/router/seamhold/forwarding/box.py
+++ b/packages/router/seamhold/forwarding/box.py
@@ -149,7 +149,7 @@
             self.dialect.tree,
             self.config.fleet_defaults(),
         )
-        source = ListSource(self.store, self.metrics, chance, watch, self.peering.ask_for_lists)
+        source = ListSource(self.store, self.metrics, chance, watch, self.peering.request_lists)
         engines = VersionedListFollower(
             ObjectKind.ENGINES,
             source,
@@ -199,7 +199,7 @@
     def _boxes_changed(self, boxes: list[Box]) -> None:
         self.budgets.boxes = len(boxes)
         self.registration.boxes_changed(boxes)
-        self.peering.boxes_changed()
+        self.peering.update_peers()
 
     def _has_state(self) -> bool:
         return self.peering.ready
@@ -245,7 +245,7 @@
         gc.enable()
         self._log.info('box.started', box=self.config.box, incarnation=self.incarnation)
 
-    def ask_stop(self) -> None:
+    def request_stop(self) -> None:
         """Begin a planned stop; called by signal handlers too."""
         self.gate.draining = True
         self._orders.put(Order.STOP)
@@ -270,7 +270,7 @@
         while self._next_order() is not Order.STOP:
             self._log.info('box.reload_asked')
         self._log.info('box.stop_asked', calls=self.gate.active)
-        self.peering.tell_leaving()
+        self.peering.send_leaving()
         # The balancer needs a moment to see that this box is not ready; then
         # callers that keep connections are sent away while nothing is refused.
         closing = min(IDLE_CLOSE_SECONDS, self.config.drain_grace)
@@ -309,8 +309,8 @@
     logs = BoundedStream(environment.stdout)
     setup_logs(logs, config.log_level)
     box = ForwardingBox(config, environment, find_dialect(config.dialect))
-    signal.signal(signal.SIGTERM, lambda *_: box.ask_stop())
-    signal.signal(signal.SIGINT, lambda *_: box.ask_stop())
+    signal.signal(signal.SIGTERM, lambda *_: box.request_stop())
+    signal.signal(signal.SIGINT, lambda *_: box.request_stop())
     signal.signal(signal.SIGHUP, lambda *_: box.note_settings_signal())
     box.start()
     box.wait()
--- a/packages/router/seamhold/forwarding/followers.py
+++ b/packages/router/seamhold/forwarding/followers.py
@@ -61,19 +61,19 @@
         self._ready = ready
         self._role_known_at = boot_seconds() + ROLE_SECONDS
 
-    def wanted(self) -> bool:
+    def should_follow(self) -> bool:
         """A watcher watches; so does a box that lacks something, or lost the store."""
         decider = self._decider
         return decider.follows_store or decider.store_lost or not self._ready()
 
-    def wait_turn(self) -> None:
+    def wait_for_turn(self) -> None:
         """Wait until it is this box's turn, or for a while."""
         self._decider.store_wanted.wait(STOP_LOOK_SECONDS)
 
     def wait_role(self) -> None:
         """Wait while this box starts and cannot know yet whose turn it is."""
         decider = self._decider
-        decider.boxes.known.wait(ALONE_SECONDS)
+        decider.boxes.loaded.wait(ALONE_SECONDS)
         left = self._role_known_at - boot_seconds()
         if left > 0 and len(decider.boxes.items or ()) > 1:
             time.sleep(left)
@@ -85,9 +85,9 @@
     def regained(self) -> None:
         """The store answered."""
         self._decider.store_lost = False
-        self.answered()
+        self.on_answer()
 
-    def answered(self) -> None:
+    def on_answer(self) -> None:
         """The store answered a call: other boxes hear of it."""
         self._decider.send(StoreAnswered())
 
@@ -102,8 +102,8 @@
     kind = ObjectKind.SETTINGS
     watch_seconds = WATCH_SECONDS
     retry_max_seconds = RETRY_MAX_SECONDS
-    gather_seconds = GATHER_SECONDS
-    starting_gather_seconds = STARTING_GATHER_SECONDS
+    batch_seconds = GATHER_SECONDS
+    starting_batch_seconds = STARTING_GATHER_SECONDS
     starting_seconds = STARTING_SECONDS
 
     def __init__(
@@ -122,33 +122,33 @@
         self._read = read
         self._defaults = defaults
 
-    def wanted(self) -> bool:
+    def should_follow(self) -> bool:
         """Whether it is this box's turn."""
-        return self._watch.wanted()
+        return self._watch.should_follow()
 
-    def wait_turn(self) -> None:
+    def wait_for_turn(self) -> None:
         """Wait until it is this box's turn, or for a while."""
-        self._watch.wait_turn()
+        self._watch.wait_for_turn()
 
-    def settle(self) -> None:
+    def before_watch(self) -> None:
         """Wait until it is known whose turn it is."""
         self._watch.wait_role()
 
-    def answered(self) -> None:
+    def on_answer(self) -> None:
         """The store serves this box."""
-        self._watch.answered()
+        self._watch.on_answer()
 
-    def unreachable(self) -> None:
+    def on_unreachable(self) -> None:
         """The store does not serve this box."""
         self._watch.lost()
 
-    def listed(self, objects: list[PlatformObject]) -> None:
+    def on_list(self, objects: list[PlatformObject]) -> None:
         """Offer the tree as it stands."""
         self._watch.regained()
         for item in objects:
             self._offer(item)
 
-    def changed(self, kind: WatchKind, item: PlatformObject) -> None:
+    def on_change(self, kind: WatchKind, item: PlatformObject) -> None:
         """Offer the tree as it stands now; one that is removed stays in force."""
         if kind is not WatchKind.DELETED:
             self._offer(item)
@@ -189,8 +189,8 @@
 
     watch_seconds = WATCH_SECONDS
     retry_max_seconds = RETRY_MAX_SECONDS
-    gather_seconds = GATHER_SECONDS
-    starting_gather_seconds = STARTING_GATHER_SECONDS
+    batch_seconds = GATHER_SECONDS
+    starting_batch_seconds = STARTING_GATHER_SECONDS
     starting_seconds = STARTING_SECONDS
 
     def __init__(
@@ -212,25 +212,25 @@
         #: Whether what was watched changed since the list was handed on.
         self._has_news = False
 
-    def wanted(self) -> bool:
+    def should_follow(self) -> bool:
         """Whether it is this box's turn."""
-        return self._source.watch.wanted()
+        return self._source.watch.should_follow()
 
-    def wait_turn(self) -> None:
+    def wait_for_turn(self) -> None:
         """Wait until it is this box's turn, or for a while."""
-        self._source.watch.wait_turn()
+        self._source.watch.wait_for_turn()
 
-    def settle(self) -> None:
+    def before_watch(self) -> None:
         """Wait until it is known whose turn it is."""
         self._source.watch.wait_role()
 
-    def changed(self, kind: WatchKind, item: PlatformObject) -> None:
+    def on_change(self, kind: WatchKind, item: PlatformObject) -> None:
         """Replace or drop one item; what one watch tells is one version of the list."""
         before = self._items.get(item.name)
-        self._note(kind, item)
+        self._apply_change(kind, item)
         self._has_news |= self._is_news(before, self._items.get(item.name))
 
-    def gathered(self) -> None:
+    def on_batch_end(self) -> None:
         """Hand the list on as the watch left it, if that tells anything."""
         if self._has_news:
             self._has_news = False
@@ -241,11 +241,11 @@
         if known is None or _by_name(items) != _by_name(known):
             self._deliver_to(items, int(self.version))
 
-    def answered(self) -> None:
+    def on_answer(self) -> None:
         """The store serves this box."""
-        self._source.watch.answered()
+        self._source.watch.on_answer()
 
-    def unreachable(self) -> None:
+    def on_unreachable(self) -> None:
         """The platform did not answer this box; others may know more."""
         self._source.ask_boxes()
 
@@ -263,11 +263,11 @@
         if not self._started:
             self._started = True
             page = self.platform.list(self.kind, stale=True)
-            self._note_regained()
-            self.answered()
+            self._record_regained()
+            self.on_answer()
             self.version = page.version
-            self.listed(page.objects)
-            self.settle()
+            self.on_list(page.objects)
+            self.before_watch()
             return
         super()._follow()
 
@@ -282,13 +282,13 @@
     _first_polls = 0
 
     def _follow(self) -> None:
-        while not self._stopped.is_set() and self.wanted():
+        while not self._stopped.is_set() and self.should_follow():
             starting = self._is_starting()
             page = self.platform.list(self.kind, stale=not starting)
-            self._note_regained()
-            self.answered()
+            self._record_regained()
+            self.on_answer()
             self.version = page.version
-            self.listed(page.objects)
+            self.on_list(page.objects)
             self._stopped.wait(ALONE_POLL_SECONDS if starting else POLL_SECONDS)
 
     def _is_starting(self) -> bool:
--- a/packages/router/seamhold/forwarding/held.py
+++ b/packages/router/seamhold/forwarding/held.py
@@ -92,7 +92,7 @@
         while not self._wait_ready(READY_POLL_SECONDS):
             if self._stopped.is_set():
                 return
-        self._holdings.done.wait(PEERS_SECONDS)
+        self._holdings.first_query_done.wait(PEERS_SECONDS)
         asked: set[str] = set()
         while not self._holdings.complete and not self._stopped.is_set():
             self._ask_new(asked)
--- a/packages/router/seamhold/trials.py
+++ b/packages/router/seamhold/trials.py
@@ -31,7 +31,7 @@
     Verdict,
 )
 
-from .background import answer_of
+from .background import result_of
 from .case_store import CaseStore
 from .context import Environment
 from .decider import Decider
@@ -93,7 +93,7 @@
 
     def catch_up(self) -> None:
         """Hear what others met while this box was held up, before anything runs."""
-        self._peering.catching_up.wait()
+        self._peering.catch_up.wait()
 
     def is_watched(self, identity: RequestIdentity) -> bool:
         """Whether requests of this scope may not simply run."""
@@ -224,7 +224,7 @@
         """
         known = await client.engine_ended(report)
         if known.case is not None:
-            await answer_of(self._decider.ask(HearCases((known.case,))))
+            await result_of(self._decider.ask(HearCases((known.case,))))
         return known.ends
 
     def over(self, request: str, run: str, well: bool) -> None:
--- a/scenarios/mutants.py
+++ b/scenarios/mutants.py
@@ -181,7 +181,7 @@
     Mutant(
         'a reset platform is not mended',
         'router/seamhold/settings_follower.py',
-        'self._mend(envelope.name)',
+        'self._repair(envelope.name)',
         'pass',
         'An operator edits the older copy before it is mended',
     ),
@@ -202,7 +202,7 @@
     Mutant(
         'settings do not come from peers',
         'router/seamhold/peer_pulls.py',
-        'newer = await client.pull_settings(known)',
+        'newer = await client.pull_settings(revisions)',
         'newer = []',
         'A box starts while the platform is out',
     ),
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -235,7 +235,7 @@
         self.assertIn(ASKED.scope, self.decider.cases.scopes)
 
     async def pull_meanwhile(self) -> None:
-        pull = asyncio.create_task(self.pulls.take_cases(PeerThatKnows()))
+        pull = asyncio.create_task(self.pulls.pull_cases(PeerThatKnows()))
         await asyncio.sleep(PULL_SECONDS)
         ended_early = pull.done() or self.decider.cases.known.is_set()
         self.goes_on.set()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -142,7 +142,7 @@
         follower = SettingsFollower(
             platform, Metrics(), random.Random(1), keeper, 'box-1', lambda: ('box-1',)
         )
-        follower.listed([older])
+        follower.on_list([older])
         mended = editor.read()['fleet'].envelope
         self.assertEqual(
             (2, 'newer', 12),
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -8,9 +8,9 @@
 
 from seamhold.decider import Decider
 from seamhold.decisions import SetBoxes, SetEngines, WantReport
+from seamhold.digest_order import DigestOrder
 from seamhold.forwarding.calls import shared_part
 from seamhold.ports import PromptPart
-from seamhold.telling import TellingOrder
 from seamhold_attempts.retry import Outcome
 from seamhold_membership.relay import RELAY_TIMES
 from seamhold_messages.fleet import Box, Engine, Phase
@@ -36,15 +36,15 @@
 
 class TestTelling(testtools.TestCase):
     def test_a_short_budget_reaches_every_peer_in_turn(self):
-        order = TellingOrder(random.Random(1))
+        order = DigestOrder(random.Random(1))
         peers = [f'box-{number}' for number in range(10)]
         reached = []
         for _ in range(4):
-            for name in order.of(peers)[:3]:
-                order.told(name)
+            for name in order.ordered(peers)[:3]:
+                order.record_sent(name)
                 reached.append(name)
         self.assertEqual(set(peers), set(reached))
-        self.assertNotIn('box-3', order.of([name for name in peers if name != 'box-3']))
+        self.assertNotIn('box-3', order.ordered([name for name in peers if name != 'box-3']))
 
     def test_settings_travel_packed_and_come_out_whole(self):
         spec = {'routes': [{'host': 'a.example', 'path': f'/p{n}/'} for n in range(500)]}
@@ -369,13 +369,13 @@
         router = Router('box-0', 'x')
         decider = Decider(router, lambda: 0.0)
         seen = []
-        router.set_engines = lambda engines, now: seen.append(decider.engines.known.is_set()) or []
+        router.set_engines = lambda engines, now: seen.append(decider.engines.loaded.is_set()) or []
         decider.start()
         self.addCleanup(decider.stop)
         decider.send(SetEngines([], 1))
         decider.ask(WantReport()).result(5)
         self.assertEqual([False], seen)
-        self.assertTrue(decider.engines.known.is_set())
+        self.assertTrue(decider.engines.loaded.is_set())
 
     def test_a_list_that_is_known_is_not_news(self):
         decider = Decider(Router('box-0', 'x'), lambda: 0.0)
--- a/tests/utils/stack.py
+++ b/tests/utils/stack.py
@@ -107,10 +107,10 @@
 
     def close(self) -> None:
         """Stop all of it."""
-        self.box.ask_stop()
-        self.box.ask_stop()
+        self.box.request_stop()
+        self.box.request_stop()
         if self.box.wait():
             # A process would end here with the calls it cut; a test goes on.
-            self.box._shut()
+            self.box._close()
         for server in (self.platform, self.engine, self.service):
             server.stop()
--- a/tests/utils/telling_fleet.py
+++ b/tests/utils/telling_fleet.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from seamhold.telling import TellingOrder
+from seamhold.digest_order import DigestOrder
 from seamhold_attempts.retry import Outcome
 from seamhold_membership import ByteBudget, DigestReceiver
 from seamhold_messages.fleet import Box, Engine
@@ -42,7 +42,7 @@
         self.router.set_engines(engines, 0.0)
         self.router.set_boxes(boxes, 0.0)
         self.budget = ByteBudget(control.control_bytes_per_second, 0.0)
-        self.order = TellingOrder(random.Random(name))
+        self.order = DigestOrder(random.Random(name))
         names = self.names = NameTable()
         names.add(engine.name for engine in engines)
         names.add(box.name for box in boxes)
@@ -197,7 +197,7 @@
     def _tell(self, box: TellingBox) -> None:
         near = {other.name for other in box.router.boxes.neighbours()}
         most = box.router.tree.fleet.control.digest_peers
-        names = [name for name in box.order.of(self.boxes) if name in near][:most]
+        names = [name for name in box.order.ordered(self.boxes) if name in near][:most]
         sent = []
         for name, digest in zip(
             names, box.router.digests_for(names, Versions(), self.now), strict=True
@@ -206,7 +206,7 @@
             if not box.budget.take(encoded.size, self.now):
                 break
             self.bytes_sent += encoded.size
-            box.order.told(name)
+            box.order.record_sent(name)
             sent.append(encoded.digest)
             if not self.cut & {name, box.router.box}:
                 self._deliver(self.boxes[name], encoded)
