--- a/packages/router/seamhold/case_answers.py
+++ b/packages/router/seamhold/case_answers.py
@@ -5,7 +5,7 @@
 from seamhold_peers import CasesPage, EndsKnown
 from seamhold_quarantine import Case, EndReport, Permission, TrialRequest, TrialResult
 
-from .background import answer_of
+from .background import result_of
 from .decider import Decider
 from .decisions import EndTrial, GetCases, ReceiveCases, ReceiveEnd, RequestTrial
 
@@ -24,7 +24,7 @@
 
     async def hear_cases(self, cases: tuple[Case, ...]) -> None:
         """Merge cases that a peer sends."""
-        await answer_of(self._decider.query(ReceiveCases(cases)))
+        await result_of(self._decider.query(ReceiveCases(cases)))
 
     async def engine_ended(self, report: EndReport) -> EndsKnown:
         """Record an engine's end at a peer; return what this box knows of the request."""
--- a/packages/router/seamhold/cases_follower.py
+++ b/packages/router/seamhold/cases_follower.py
@@ -39,14 +39,14 @@
         self._cases = cases
         self._peering = peering
 
-    def wanted(self) -> bool:
+    def should_follow(self) -> bool:
         """Whether boxes are missing, and this one ranks first among the others."""
         roster = self._peering.roster
         if not roster.missing_boxes:
             return False
         return owners(FOLLOWER_KEY, roster.responsive_boxes) == [self._box]
 
-    def wait_turn(self) -> None:
+    def wait_for_turn(self) -> None:
         """Wait until boxes are missing; if another box follows, until the next roster check.
 
         Copies that arrive before the first list is read run at boxes without these cases.
@@ -56,11 +56,11 @@
         else:
             self._peering.boxes_missing.wait(ROSTER_SECONDS)
 
-    def listed(self, objects: list[PlatformObject]) -> None:
+    def on_list(self, objects: list[PlatformObject]) -> None:
         """Merge all stored cases."""
         self._cases.merge_objects(objects)
 
-    def changed(self, kind: WatchKind, item: PlatformObject) -> None:
+    def on_change(self, kind: WatchKind, item: PlatformObject) -> None:
         """Merge a case that was written."""
         if kind is not WatchKind.DELETED:
             self._cases.merge_objects([item])
--- a/packages/router/seamhold/trials.py
+++ b/packages/router/seamhold/trials.py
@@ -31,7 +31,7 @@
     Verdict,
 )
 
-from .background import answer_of
+from .background import result_of
 from .case_store import CaseStore
 from .context import Environment
 from .decider import Decider
@@ -94,7 +94,7 @@
 
     def catch_up(self) -> None:
         """Receive the peers' cases first if this box was suspended, before anything runs."""
-        self._peering.catching_up.wait()
+        self._peering.catch_up.wait()
 
     def needs_permission(self, identity: RequestIdentity) -> bool:
         """Whether this request's scope contains requests that need permission to run."""
@@ -233,7 +233,7 @@
         """
         known = await client.engine_ended(report)
         if known.case is not None:
-            await answer_of(self._decider.query(ReceiveCases((known.case,))))
+            await result_of(self._decider.query(ReceiveCases((known.case,))))
         return known.ends
 
     def report_trial_end(self, request: str, run: str, well: bool) -> None:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -239,7 +239,7 @@
         self.assertIn(ASKED.scope, self.decider.cases.scopes)
 
     async def pull_while_blocked(self) -> None:
-        pull = asyncio.create_task(self.pulls.take_cases(PeerWithCases()))
+        pull = asyncio.create_task(self.pulls.pull_cases(PeerWithCases()))
         await asyncio.sleep(PULL_SECONDS)
         ended_early = pull.done() or self.decider.cases.loaded.is_set()
         self.released.set()
--- a/tests/utils/stack.py
+++ b/tests/utils/stack.py
@@ -107,10 +107,10 @@
 
     def close(self) -> None:
         """Stop the box, the platform, the engine and the service."""
-        self.box.ask_stop()
-        self.box.ask_stop()
+        self.box.request_stop()
+        self.box.request_stop()
         if self.box.wait():
             # A box process would exit here with calls in progress; a test continues.
-            self.box._shut()
+            self.box._close()
         for server in (self.platform, self.engine, self.service):
             server.stop()
