--- a/packages/router/seamhold/case_answers.py
+++ b/packages/router/seamhold/case_answers.py
@@ -1,39 +1,39 @@
-"""What a box answers its peers about requests that end engines."""
+"""Handlers of the peer calls about requests that end engines."""
 
 import asyncio
 
 from seamhold_peers import CasesPage, EndsKnown
 from seamhold_quarantine import Case, EndReport, Permission, TrialRequest, TrialResult
 
-from .background import answer_of
+from .background import result_of
 from .decider import Decider
-from .decisions import AskTrial, EndTrial, HearCases, HearEnd, WantCases
+from .decisions import EndTrial, GetCases, ReceiveCases, ReceiveEnd, RequestTrial
 
 
 class CaseAnswers:
-    """The part of a peer port's handler that is the same in all dialects."""
+    """The part of the peer port's handler that all dialects share."""
 
     def __init__(self, decider: Decider):
         self._decider = decider
 
     async def cases(self) -> CasesPage:
-        """What this box knows of them."""
-        complete = self._decider.cases.known.is_set()
-        cases = await asyncio.wrap_future(self._decider.ask(WantCases()))
+        """Return the cases that this box shares, and whether it has loaded all."""
+        complete = self._decider.cases.loaded.is_set()
+        cases = await asyncio.wrap_future(self._decider.query(GetCases()))
         return CasesPage(cases, complete)
 
     async def hear_cases(self, cases: tuple[Case, ...]) -> None:
-        """A peer tells what it just learned."""
-        await answer_of(self._decider.ask(HearCases(cases)))
+        """Merge cases that a peer sends."""
+        await result_of(self._decider.query(ReceiveCases(cases)))
 
     async def engine_ended(self, report: EndReport) -> EndsKnown:
-        """An engine ended at a peer; what this box knows of the request."""
-        return await asyncio.wrap_future(self._decider.ask(HearEnd(report)))
+        """Record an engine's end at a peer; return what this box knows of the request."""
+        return await asyncio.wrap_future(self._decider.query(ReceiveEnd(report)))
 
-    async def ask_trial(self, ask: TrialRequest) -> Permission:
-        """Whether a suspect may run now at a peer."""
-        return await asyncio.wrap_future(self._decider.ask(AskTrial(ask)))
+    async def ask_trial(self, trial: TrialRequest) -> Permission:
+        """Return whether a suspect request may run now at a peer."""
+        return await asyncio.wrap_future(self._decider.query(RequestTrial(trial)))
 
-    async def end_trial(self, over: TrialResult) -> None:
-        """A suspect's run at a peer is over."""
-        self._decider.send(EndTrial(over))
+    async def end_trial(self, result: TrialResult) -> None:
+        """Record the end of a suspect request's run at a peer."""
+        self._decider.send(EndTrial(result))
--- a/packages/router/seamhold/forwarding/backends.py
+++ b/packages/router/seamhold/forwarding/backends.py
@@ -29,7 +29,7 @@
 from ..ports import (
     Answer,
     AttemptFailed,
-    AttemptWords,
+    AttemptMetadata,
     BackendDialect,
     Cancellation,
     EngineLoad,
@@ -174,7 +174,9 @@
             connection.close()
             unreachable = EngineUnreachable('could not connect', RETRY_AFTER_SECONDS)
             refused = was_refused(error)
-            raise AttemptFailed(Outcome.NOT_SENT, unreachable, nobody_listens=refused) from error
+            raise AttemptFailed(
+                Outcome.NOT_SENT, unreachable, connection_refused=refused
+            ) from error
         return connection
 
     def _exchange(
@@ -184,7 +186,7 @@
         # Replaces the timeout for connecting.
         connection.timeout = remaining
         connection.sock.settimeout(remaining)
-        words = AttemptWords(
+        metadata = AttemptMetadata(
             request.request_id,
             request.workspace,
             placed.incarnation,
@@ -193,7 +195,7 @@
             request.urgency,
             placed.fetch_from,
         )
-        headers = SKIPPED_HEADERS | request.headers | self._dialect.headers(words)
+        headers = SKIPPED_HEADERS | request.headers | self._dialect.headers(metadata)
         try:
             connection.request(
                 request.method,
--- a/packages/router/seamhold/forwarding/box.py
+++ b/packages/router/seamhold/forwarding/box.py
@@ -22,16 +22,16 @@
 from ..config import BoxConfig
 from ..context import Environment
 from ..decider import Decider
-from ..decisions import LiftCase, SetBoxes, SetEngines, SetEvacuations, UseSettings, WantReport
+from ..decisions import GetReport, LiftCase, SetBoxes, SetEngines, SetEvacuations, UseSettings
 from ..dialects import find_dialect
 from ..engine_uses import EngineUses
 from ..gate import Gate
-from ..keeper import SettingsKeeper
 from ..logs import BoundedStream, logger, setup_logs
 from ..metrics import Metrics
 from ..peering import Peering
 from ..ports import Dialect
 from ..runner import Runner
+from ..settings_task import SettingsTask
 from ..status import ExitStatus
 from ..trials import Trials
 from .backends import BackendConnections
@@ -76,7 +76,7 @@
         self.config = config
         self.environment = environment
         self.dialect = dialect
-        self.incarnation = environment.fresh_id()
+        self.incarnation = environment.new_id()
         self.metrics = Metrics(config.statsd)
         self._closed = False
         self._log = logger('box')
@@ -88,10 +88,12 @@
         self.store = dialect.store(config.platform_url)
         router = Router(config.box, self.incarnation, failure_domain=config.failure_domain)
         self.decider = Decider(router, clock, config.evacuations)
-        self.keeper = SettingsKeeper(self.metrics, self._settings_changed)
+        self.settings_task = SettingsTask(self.metrics, self._settings_changed)
         self.budgets = RetryBudgets(clock)
         self.backends = BackendConnections(dialect.backends, clock)
-        self.peering = Peering(config, self.decider, self.keeper, environment, self.metrics, rng)
+        self.peering = Peering(
+            config, self.decider, self.settings_task, environment, self.metrics, rng
+        )
         self.cases = CaseStore(
             config.box,
             self.store,
@@ -115,7 +117,7 @@
             lambda: self.peering.roster.live_boxes,
         )
         self.decider.on_boxes = self._boxes_changed
-        self.decider.on_engine_uses = EngineUses(self.metrics).note
+        self.decider.on_engine_uses = EngineUses(self.metrics).record
         self.gate = Gate(config.threads)
         first_state = FirstState(
             self._has_state, self.peering.wait_ready, lambda: self.decider.store_lost, clock
@@ -132,7 +134,7 @@
             config.box,
             dialect.backends,
             self.decider,
-            lambda: self.keeper.snapshot.tree,
+            lambda: self.settings_task.snapshot.tree,
             self.peering.wait_ready,
             self.peering.holdings,
             lambda: self.peering.roster.live_boxes,
@@ -151,11 +153,11 @@
             self.metrics,
             rng,
             watch,
-            self.keeper,
+            self.settings_task,
             self.dialect.tree,
             self.config.fleet_defaults(),
         )
-        source = ListSource(self.store, self.metrics, rng, watch, self.peering.ask_for_lists)
+        source = ListSource(self.store, self.metrics, rng, watch, self.peering.request_lists)
         engines = VersionedListFollower(
             ObjectKind.ENGINES,
             source,
@@ -195,7 +197,7 @@
         self.server.max_request_header_size = bounds.head_bytes
         self.entry.body_bytes = bounds.body_bytes
         self.entry.table = RouteTable(tree)
-        self.entry.settings_version = self.keeper.snapshot.total
+        self.entry.settings_version = self.settings_task.snapshot.total
         self.budgets.use(tree.fleet.control)
         self.decider.send(UseSettings(tree))
 
@@ -205,7 +207,7 @@
     def _boxes_changed(self, boxes: list[Box]) -> None:
         self.budgets.boxes = len(boxes)
         self.registration.update_listed(boxes)
-        self.peering.boxes_changed()
+        self.peering.update_peers()
 
     def _has_state(self) -> bool:
         return self.peering.ready
@@ -214,15 +216,15 @@
         return self.peering.ready and not self.gate.draining
 
     def _lift(self, request: str) -> bool:
-        return self.decider.ask(LiftCase(request)).result(STATUS_SECONDS)
+        return self.decider.query(LiftCase(request)).result(STATUS_SECONDS)
 
     def _status(self) -> dict:
-        report = self.decider.ask(WantReport()).result(STATUS_SECONDS)
+        report = self.decider.query(GetReport()).result(STATUS_SECONDS)
         self.metrics.gauge('calls_in_flight', report.in_flight)
         return {
             'box': self.config.box,
             'ready': self._is_ready(),
-            'settings': self.keeper.snapshot.total,
+            'settings': self.settings_task.snapshot.total,
             'in_flight': report.in_flight,
             'live_boxes': list(report.live_boxes),
             'engines': [to_builtins(engine) for engine in report.engines],
@@ -233,11 +235,13 @@
 
     def start(self) -> None:
         """Start all tasks and listen; raises OSError if a port is in use."""
-        for task in (self.decider, self.keeper, self.entry.watch):
+        for task in (self.decider, self.settings_task, self.entry.watch):
             task.start()
         for follower in self.followers:
             follower.start()
-        self.peering.start(ForwardingPeerHandler(self.decider, self.keeper, self.peering.holdings))
+        self.peering.start(
+            ForwardingPeerHandler(self.decider, self.settings_task, self.peering.holdings)
+        )
         self.registration.start()
         self.cases.start()
         self.held.start()
@@ -249,7 +253,7 @@
         gc.enable()
         self._log.info('box.started', box=self.config.box, incarnation=self.incarnation)
 
-    def ask_stop(self) -> None:
+    def request_stop(self) -> None:
         """Begin a planned stop; safe to call from a signal handler."""
         self.gate.draining = True
         self._orders.put(Order.STOP)
@@ -274,7 +278,7 @@
         while self._next_order() is not Order.STOP:
             self._log.info('box.reload_asked')
         self._log.info('box.stop_asked', calls=self.gate.active)
-        self.peering.tell_leaving()
+        self.peering.send_leaving()
         # The load balancer first needs time to see that this box is not ready.  Idle
         # connections are closed while requests are still accepted.
         closing = min(IDLE_CLOSE_SECONDS, self.config.drain_grace)
@@ -302,7 +306,7 @@
         for part in (*self.followers, self.cases, self.held, self.registration, self.entry.watch):
             part.stop()
         self.peering.stop()
-        for task in (self.keeper, self.decider):
+        for task in (self.settings_task, self.decider):
             task.stop()
         self.backends.close()
         self.store.close()
@@ -313,8 +317,8 @@
     logs = BoundedStream(environment.stdout)
     setup_logs(logs, config.log_level)
     box = ForwardingBox(config, environment, find_dialect(config.dialect))
-    signal.signal(signal.SIGTERM, lambda *_: box.ask_stop())
-    signal.signal(signal.SIGINT, lambda *_: box.ask_stop())
+    signal.signal(signal.SIGTERM, lambda *_: box.request_stop())
+    signal.signal(signal.SIGINT, lambda *_: box.request_stop())
     signal.signal(signal.SIGHUP, lambda *_: box.request_reload())
     box.start()
     box.wait()
--- a/packages/router/seamhold/forwarding/entry.py
+++ b/packages/router/seamhold/forwarding/entry.py
@@ -95,9 +95,9 @@
             if table is None:
                 raise NotReady('this box has no settings yet', NOT_READY_SECONDS)
             head = read_head(exchange.request)
-            words = self._dialect.read(head.by_name)
-            exchange.request_id = words.request_id
-            found = find_route(table, words, head)
+            metadata = self._dialect.read(head.by_name)
+            exchange.request_id = metadata.request_id
+            found = find_route(table, metadata, head)
             body = self._read_body(exchange.request, head)
             exchange.body_read = True
             now = self._environment.monotonic()
--- a/packages/router/seamhold/forwarding/followers.py
+++ b/packages/router/seamhold/forwarding/followers.py
@@ -19,10 +19,10 @@
 from ..decider import Decider
 from ..decisions import StoreAnswered
 from ..follower import Follower
-from ..keeper import OFFER_SECONDS, Offer, SettingsKeeper
 from ..list_follower import ListFollower
 from ..metrics import Metrics
 from ..ports import ObjectStore
+from ..settings_task import OFFER_SECONDS, OfferSettings, SettingsTask
 
 #: How long the store may hold a watch without a change, in seconds.  TCP keepalive probes
 #: the connection meanwhile, and the store keeps its history for 20 s.
@@ -64,19 +64,19 @@
         self._ready = ready
         self._role_known_at = boot_seconds() + ROLE_WAIT_SECONDS
 
-    def wanted(self) -> bool:
+    def should_follow(self) -> bool:
         """Whether this box is a watcher, lacks a part of its state, or has lost the store."""
         decider = self._decider
-        return decider.follows_store or decider.store_lost or not self._ready()
+        return decider.watches_store or decider.store_lost or not self._ready()
 
-    def wait_turn(self) -> None:
+    def wait_for_turn(self) -> None:
         """Wait until this box should watch, at most STOP_CHECK_SECONDS."""
         self._decider.store_wanted.wait(STOP_CHECK_SECONDS)
 
     def wait_for_role(self) -> None:
         """Wait while this box starts and cannot know yet whether it is a watcher."""
         decider = self._decider
-        decider.boxes.known.wait(ALONE_SECONDS)
+        decider.boxes.loaded.wait(ALONE_SECONDS)
         left = self._role_known_at - boot_seconds()
         if left > 0 and len(decider.boxes.items or ()) > 1:
             time.sleep(left)
@@ -88,9 +88,9 @@
     def on_regained(self) -> None:
         """Record that the store answers again."""
         self._decider.store_lost = False
-        self.answered()
+        self.on_answer()
 
-    def answered(self) -> None:
+    def on_answer(self) -> None:
         """Record that the store answered; the decider reports it to other boxes."""
         self._decider.send(StoreAnswered())
 
@@ -105,8 +105,8 @@
     kind = ObjectKind.SETTINGS
     watch_seconds = WATCH_SECONDS
     retry_max_seconds = RETRY_MAX_SECONDS
-    gather_seconds = BATCH_SECONDS
-    starting_gather_seconds = STARTING_BATCH_SECONDS
+    batch_seconds = BATCH_SECONDS
+    starting_batch_seconds = STARTING_BATCH_SECONDS
     starting_seconds = STARTING_SECONDS
 
     def __init__(
@@ -115,43 +115,43 @@
         metrics: Metrics,
         rng: random.Random,
         watch: StoreWatch,
-        keeper: SettingsKeeper,
+        settings_task: SettingsTask,
         read: Callable[[PlatformObject], dict],
         defaults: dict,
     ):
         super().__init__(store, metrics, rng)
         self._watch = watch
-        self._keeper = keeper
+        self._settings_task = settings_task
         self._read = read
         self._defaults = defaults
 
-    def wanted(self) -> bool:
+    def should_follow(self) -> bool:
         """Whether this box should watch the store."""
-        return self._watch.wanted()
+        return self._watch.should_follow()
 
-    def wait_turn(self) -> None:
+    def wait_for_turn(self) -> None:
         """Wait until this box should watch the store, or a few seconds have passed."""
-        self._watch.wait_turn()
+        self._watch.wait_for_turn()
 
-    def settle(self) -> None:
+    def before_watch(self) -> None:
         """Wait until this box knows whether it is a watcher."""
         self._watch.wait_for_role()
 
-    def answered(self) -> None:
+    def on_answer(self) -> None:
         """Record that the store answered."""
-        self._watch.answered()
+        self._watch.on_answer()
 
-    def unreachable(self) -> None:
+    def on_unreachable(self) -> None:
         """Record that the store did not answer."""
         self._watch.on_lost()
 
-    def listed(self, objects: list[PlatformObject]) -> None:
+    def on_list(self, objects: list[PlatformObject]) -> None:
         """Offer the listed tree to the settings task."""
         self._watch.on_regained()
         for item in objects:
             self._offer(item)
 
-    def changed(self, kind: WatchKind, item: PlatformObject) -> None:
+    def on_change(self, kind: WatchKind, item: PlatformObject) -> None:
         """Offer the changed tree; a deleted one stays active."""
         if kind is not WatchKind.DELETED:
             self._offer(item)
@@ -168,7 +168,9 @@
         for problem in problems:
             self.log.warning('settings.route_left_out', version=item.version, detail=problem)
         candidate = Candidate(TREE_OBJECT, int(item.version), item.version, values)
-        (step,) = self._keeper.ask(Offer([candidate], 'platform')).result(OFFER_SECONDS)
+        (step,) = self._settings_task.query(OfferSettings([candidate], 'platform')).result(
+            OFFER_SECONDS
+        )
         if step is Step.INVALID:
             self.log.error('settings.invalid', version=item.version)
 
@@ -193,8 +195,8 @@
 
     watch_seconds = WATCH_SECONDS
     retry_max_seconds = RETRY_MAX_SECONDS
-    gather_seconds = BATCH_SECONDS
-    starting_gather_seconds = STARTING_BATCH_SECONDS
+    batch_seconds = BATCH_SECONDS
+    starting_batch_seconds = STARTING_BATCH_SECONDS
     starting_seconds = STARTING_SECONDS
 
     def __init__(
@@ -216,25 +218,25 @@
         #: Whether an item changed since the list was delivered.
         self._has_update = False
 
-    def wanted(self) -> bool:
+    def should_follow(self) -> bool:
         """Whether this box should watch the store."""
-        return self._source.watch.wanted()
+        return self._source.watch.should_follow()
 
-    def wait_turn(self) -> None:
+    def wait_for_turn(self) -> None:
         """Wait until this box should watch the store, or a few seconds have passed."""
-        self._source.watch.wait_turn()
+        self._source.watch.wait_for_turn()
 
-    def settle(self) -> None:
+    def before_watch(self) -> None:
         """Wait until this box knows whether it is a watcher."""
         self._source.watch.wait_for_role()
 
-    def changed(self, kind: WatchKind, item: PlatformObject) -> None:
+    def on_change(self, kind: WatchKind, item: PlatformObject) -> None:
         """Replace or remove one item; all changes of one watch are delivered together."""
         before = self._items.get(item.name)
-        self._note(kind, item)
+        self._apply_change(kind, item)
         self._has_update |= self._is_update(before, self._items.get(item.name))
 
-    def gathered(self) -> None:
+    def on_batch_end(self) -> None:
         """Deliver the list after a watch, if an item changed."""
         if self._has_update:
             self._has_update = False
@@ -245,11 +247,11 @@
         if current is None or _by_name(items) != _by_name(current):
             self._deliver_to(items, int(self.version))
 
-    def answered(self) -> None:
+    def on_answer(self) -> None:
         """Record that the store answered."""
-        self._source.watch.answered()
+        self._source.watch.on_answer()
 
-    def unreachable(self) -> None:
+    def on_unreachable(self) -> None:
         """Request the lists from other boxes, which may have newer ones."""
         self._source.request_lists()
 
@@ -267,11 +269,11 @@
         if not self._started:
             self._started = True
             page = self.platform.list(self.kind, stale=True)
-            self._note_regained()
-            self.answered()
+            self._record_regained()
+            self.on_answer()
             self.version = page.version
-            self.listed(page.objects)
-            self.settle()
+            self.on_list(page.objects)
+            self.before_watch()
             return
         super()._follow()
 
@@ -286,13 +288,13 @@
     _first_polls = 0
 
     def _follow(self) -> None:
-        while not self._stopped.is_set() and self.wanted():
+        while not self._stopped.is_set() and self.should_follow():
             starting = self._is_starting()
             page = self.platform.list(self.kind, stale=not starting)
-            self._note_regained()
-            self.answered()
+            self._record_regained()
+            self.on_answer()
             self.version = page.version
-            self.listed(page.objects)
+            self.on_list(page.objects)
             self._stopped.wait(ALONE_POLL_SECONDS if starting else POLL_SECONDS)
 
     def _is_starting(self) -> bool:
--- a/packages/router/seamhold/peer_pulls.py
+++ b/packages/router/seamhold/peer_pulls.py
@@ -1,4 +1,4 @@
-"""What a box takes from its peers where they have newer settings and lists."""
+"""Pulls settings, lists and quarantine cases from peers that have newer ones."""
 
 import random
 from collections.abc import Callable
@@ -9,174 +9,174 @@
 from seamhold_peers import FleetLists, PeerClient
 from seamhold_peers.client import BROKEN
 
-from .background import answer_of
+from .background import result_of
 from .decider import Decider
-from .decisions import HearCases, SetBoxes, SetEngines, SetEvacuations
-from .keeper import Offer, SettingsKeeper, WantKnown
+from .decisions import ReceiveCases, SetBoxes, SetEngines, SetEvacuations
 from .metrics import Metrics
+from .settings_task import GetRevisions, OfferSettings, SettingsTask
 
-#: Peers that the same news is pulled from at once: one of them may be stuck.
+#: Peers that the same update is pulled from at once, in case one does not answer.
 PULLS_MAX = 2
 
 
-class _Compared(Struct, frozen=True):
-    """What tells apart what a peer and this box know."""
+class _Comparison(Struct, frozen=True):
+    """Fingerprints of the quarantine cases that a peer and this box know."""
 
-    there: int
-    here: int
+    peer: int
+    own: int
 
 
 class PeerPulls:
-    """Pulls settings and lists; it belongs to the loop of the peers' connections.
+    """Pulls settings, lists and cases; used on the loop of the peer connections only.
 
-    `ready` tells whether this box has settings and both lists.
+    `ready` returns whether this box has settings, lists and cases.
     """
 
     def __init__(
         self,
         decider: Decider,
-        keeper: SettingsKeeper,
+        settings_task: SettingsTask,
         metrics: Metrics,
-        chance: random.Random,
+        rng: random.Random,
         ready: Callable[[], bool],
     ):
         self._decider = decider
-        self._keeper = keeper
+        self._settings_task = settings_task
         self._metrics = metrics
-        self._chance = chance
+        self._rng = rng
         self._ready = ready
-        self._asking_settings: set[str] = set()
-        self._asking_lists: set[str] = set()
-        self._asking_each = False
-        self._asking_cases: set[str] = set()
-        #: What each peer knew of requests that end engines when it was last asked, and
-        #: what this box did: where they went apart for good they ask no more.
-        self._compared_cases: dict[str, _Compared] = {}
-
-    async def from_each(self, addresses: set[str]) -> None:
-        """Ask one after another until this box has all: it starts in an outage."""
-        if self._asking_each:
+        self._pulling_settings: set[str] = set()
+        self._pulling_lists: set[str] = set()
+        self._pulling_from_each = False
+        self._pulling_cases: set[str] = set()
+        #: By peer, the fingerprints after the last pull of cases.  While they stay the same
+        #: there is no further pull, also where they differ for good.
+        self._compared_fingerprints: dict[str, _Comparison] = {}
+
+    async def pull_from_each(self, addresses: set[str]) -> None:
+        """Pull from one seed after another until this box is ready; used in an outage."""
+        if self._pulling_from_each:
             return
-        self._asking_each = True
+        self._pulling_from_each = True
         try:
             for address in sorted(addresses):
-                await self._from_address(address)
+                await self._pull_from_address(address)
                 if self._ready():
                     return
         finally:
-            self._asking_each = False
+            self._pulling_from_each = False
 
-    async def _from_address(self, address: str) -> None:
+    async def _pull_from_address(self, address: str) -> None:
         client = PeerClient(address)
         try:
-            await self._settings(client, 'seed')
-            await self.take_cases(client)
-            await self._lists(client)
+            await self._pull_settings(client, 'seed')
+            await self.pull_cases(client)
+            await self._pull_lists(client)
         except BROKEN:
             self._metrics.count('peers.seed_unreachable')
         finally:
             client.close()
 
-    async def lists_from_any(self, clients: dict[str, PeerClient]) -> None:
-        """Take the lists of one of the peers."""
-        client = self._chance.choice(list(clients.values()))
+    async def pull_lists_from_any(self, clients: dict[str, PeerClient]) -> None:
+        """Pull the lists from a random peer."""
+        client = self._rng.choice(list(clients.values()))
         try:
-            await self._lists(client)
+            await self._pull_lists(client)
         except BROKEN:
             self._metrics.count('lists.pull_failed')
 
-    async def lists_of(self, box: str, client: PeerClient) -> None:
-        """Take the lists of a peer that has newer ones than this box."""
-        asking = self._asking_lists
-        if box in asking or len(asking) >= PULLS_MAX:
+    async def pull_newer_lists(self, box: str, client: PeerClient) -> None:
+        """Pull the lists from a peer that has newer ones than this box."""
+        pulling = self._pulling_lists
+        if box in pulling or len(pulling) >= PULLS_MAX:
             return
-        asking.add(box)
+        pulling.add(box)
         try:
-            await self._lists(client)
+            await self._pull_lists(client)
         except BROKEN:
             self._metrics.count('lists.pull_failed')
         finally:
-            asking.discard(box)
+            pulling.discard(box)
 
-    async def _lists(self, client: PeerClient) -> None:
+    async def _pull_lists(self, client: PeerClient) -> None:
         self._metrics.count('lists.pulls')
-        self.take_lists(await client.pull_lists())
+        self.apply_lists(await client.pull_lists())
 
-    def take_lists(self, lists: FleetLists) -> None:
-        """Take a peer's lists where this box has none, or older ones."""
+    def apply_lists(self, lists: FleetLists) -> None:
+        """Hand a peer's lists to the decider, which ignores those older than its own."""
         decider = self._decider
-        if lists.boxes_version or not decider.boxes.known.is_set():
+        if lists.boxes_version or not decider.boxes.loaded.is_set():
             decider.send(SetBoxes(lists.boxes, lists.boxes_version))
-        if lists.engines_version or not decider.engines.known.is_set():
+        if lists.engines_version or not decider.engines.loaded.is_set():
             decider.send(SetEngines(lists.engines, lists.engines_version))
         if lists.evacuations_version:
             decider.send(SetEvacuations([*lists.evacuations], lists.evacuations_version))
 
     def has_other_cases(self, digest: Digest) -> bool:
-        """Whether a peer may know more of requests that end engines."""
-        here = self._decider.cases.fingerprint
-        if digest.cases_fingerprint in (0, here):
+        """Whether a peer may know more requests that end engines than this box does."""
+        own = self._decider.cases.fingerprint
+        if digest.cases_fingerprint in (0, own):
             return False
-        compared = _Compared(digest.cases_fingerprint, here)
-        return self._compared_cases.get(digest.box) != compared
+        compared = _Comparison(digest.cases_fingerprint, own)
+        return self._compared_fingerprints.get(digest.box) != compared
 
-    async def take_cases(self, client: PeerClient) -> None:
-        """Take what a peer knows of requests that end engines; raises one of BROKEN."""
+    async def pull_cases(self, client: PeerClient) -> None:
+        """Pull the requests that end engines from a peer; raises one of BROKEN."""
         page = await client.pull_cases()
         self._metrics.count('cases.pulls')
-        # Whoever waits for the pull goes on by what it brought.
-        await answer_of(self._decider.ask(HearCases(page.cases)))
+        # Callers rely on the decider having applied the cases when this returns.
+        await result_of(self._decider.query(ReceiveCases(page.cases)))
         if page.complete:
-            self._decider.cases.known.set()
+            self._decider.cases.loaded.set()
 
-    async def cases_from(self, client: PeerClient) -> bool:
-        """Take what a peer knows of them; False if it is not there."""
+    async def try_pull_cases(self, client: PeerClient) -> bool:
+        """Pull the requests that end engines from a peer; False if it is unreachable."""
         try:
-            await self.take_cases(client)
+            await self.pull_cases(client)
         except BROKEN:
             self._metrics.count('cases.pull_failed')
             return False
         return True
 
-    async def cases_of(self, digest: Digest, client: PeerClient) -> None:
-        """Take what a peer knows of requests that end engines."""
-        asking, box = self._asking_cases, digest.box
-        if box in asking or len(asking) >= PULLS_MAX:
+    async def pull_other_cases(self, digest: Digest, client: PeerClient) -> None:
+        """Pull the requests that end engines from the sender of a digest."""
+        pulling, box = self._pulling_cases, digest.box
+        if box in pulling or len(pulling) >= PULLS_MAX:
             return
-        asking.add(box)
+        pulling.add(box)
         try:
-            await self.take_cases(client)
-            self._compared_cases[box] = _Compared(
+            await self.pull_cases(client)
+            self._compared_fingerprints[box] = _Comparison(
                 digest.cases_fingerprint, self._decider.cases.fingerprint
             )
         except BROKEN:
             self._metrics.count('cases.pull_failed')
         finally:
-            asking.discard(box)
+            pulling.discard(box)
 
     def has_other_settings(self, digest: Digest) -> bool:
         """Whether a peer has settings in force that this box may lack."""
-        mine = self._keeper.snapshot
+        mine = self._settings_task.snapshot
         if digest.settings_total == mine.total:
             return digest.settings_fingerprint != mine.fingerprint
         return digest.settings_total > mine.total
 
-    async def settings_of(self, box: str, client: PeerClient) -> None:
-        """Take what a peer has in force that is newer than here."""
-        asking = self._asking_settings
-        if box in asking or len(asking) >= PULLS_MAX:
+    async def pull_newer_settings(self, box: str, client: PeerClient) -> None:
+        """Pull the settings that a peer has in force and that are newer than this box's."""
+        pulling = self._pulling_settings
+        if box in pulling or len(pulling) >= PULLS_MAX:
             return
-        asking.add(box)
+        pulling.add(box)
         try:
-            await self._settings(client, box)
+            await self._pull_settings(client, box)
         except BROKEN:
             self._metrics.count('settings.pull_failed')
         finally:
-            asking.discard(box)
+            pulling.discard(box)
 
-    async def _settings(self, client: PeerClient, source: str) -> None:
-        known = await answer_of(self._keeper.ask(WantKnown()))
-        newer = await client.pull_settings(known)
+    async def _pull_settings(self, client: PeerClient, source: str) -> None:
+        revisions = await result_of(self._settings_task.query(GetRevisions()))
+        newer = await client.pull_settings(revisions)
         self._metrics.count('settings.pulls')
         if newer:
-            await answer_of(self._keeper.ask(Offer(newer, source)))
+            await result_of(self._settings_task.query(OfferSettings(newer, source)))
--- a/packages/router/seamhold/serve.py
+++ b/packages/router/seamhold/serve.py
@@ -1,4 +1,4 @@
-"""Puts one box together, runs it, and stops it in good order."""
+"""Assembles one box, runs it, and shuts it down gracefully."""
 
 import os
 import random
@@ -13,6 +13,7 @@
 from seamhold_settings.schema import Control
 
 from .budgets import RetryBudgets
+from .call_handler import CallHandler
 from .case_store import CaseStore
 from .cases_follower import CasesFollower
 from .claims import ClaimWriter
@@ -20,12 +21,10 @@
 from .context import Environment
 from .decider import Decider
 from .decisions import SetBoxes, SetEngines, UseSettings
-from .desk import CallDesk
 from .engine_uses import EngineUses
 from .engines import EngineClient
 from .entry import SPARE_THREADS, Entry, entry_application
 from .gate import Gate
-from .keeper import SettingsKeeper
 from .list_follower import ListFollower, box_from, engine_from
 from .logs import logger
 from .metrics import Metrics
@@ -36,8 +35,9 @@
 from .peering import Peering
 from .runner import Runner
 from .settings_follower import SettingsFollower
+from .settings_task import SettingsTask
 from .status import ExitStatus
-from .tickets import TicketDesk
+from .tickets import TicketTask
 from .trials import Trials
 
 OPERATOR_THREADS = 4
@@ -45,27 +45,29 @@
 
 
 class BoxProcess:
-    """One router box: its tasks, its three ports, and its end."""
+    """One router box: its tasks, its three ports, and its shutdown."""
 
     def __init__(self, config: BoxConfig, environment: Environment):
         self.config = config
         self.environment = environment
-        self.incarnation = environment.fresh_id()
+        self.incarnation = environment.new_id()
         self.metrics = Metrics(config.statsd)
         self._log = logger('box')
         self._stopping = threading.Event()
-        self._stops_wanted = 0
-        chance = random.Random(self.incarnation)
+        self._stop_requests = 0
+        rng = random.Random(self.incarnation)
         clock = environment.monotonic
         self.platform = PlatformClient(config.platform_url)
         self.decider = Decider(Router(config.box, self.incarnation), clock)
-        self.decider.on_engine_uses = EngineUses(self.metrics).note
-        self.keeper = SettingsKeeper(self.metrics, self._settings_changed)
+        self.decider.on_engine_uses = EngineUses(self.metrics).record
+        self.settings_task = SettingsTask(self.metrics, self._settings_changed)
         self.claims = ClaimWriter(self.platform, environment, self.metrics, self._control)
-        self.tickets = TicketDesk(TicketStore(config.box, self.incarnation), clock)
+        self.tickets = TicketTask(TicketStore(config.box, self.incarnation), clock)
         self.budgets = RetryBudgets(clock)
         self.engines = EngineClient()
-        self.peering = Peering(config, self.decider, self.keeper, environment, self.metrics, chance)
+        self.peering = Peering(
+            config, self.decider, self.settings_task, environment, self.metrics, rng
+        )
         self.cases = CaseStore(
             config.box,
             self.platform,
@@ -79,10 +81,10 @@
         )
         runner = Runner(self.decider, self.engines, self.budgets, environment, self.metrics, trials)
         peers = PeerCalls(config.box, self.peering, self.claims, self.metrics)
-        self.desk = CallDesk(
+        self.call_handler = CallHandler(
             config.box,
             self.incarnation,
-            self.keeper,
+            self.settings_task,
             runner,
             self.tickets,
             self.claims,
@@ -91,19 +93,23 @@
             self.metrics,
         )
         self.peer_handler = BoxPeerHandler(
-            self.peering, self.decider, self.keeper, self.claims, self.desk.answer_relayed
+            self.peering,
+            self.decider,
+            self.settings_task,
+            self.claims,
+            self.call_handler.answer_relayed,
         )
-        self.followers = self._followers(chance)
+        self.followers = self._followers(rng)
         self.gate = Gate(config.threads)
         self._servers = self._make_servers()
 
-    def _followers(self, chance: random.Random) -> list:
+    def _followers(self, rng: random.Random) -> list:
         lists = [
             ListFollower(
                 ObjectKind.ENGINES,
                 self.platform,
                 self.metrics,
-                chance,
+                rng,
                 engine_from,
                 lambda engines: self.decider.send(SetEngines(engines)),
             ),
@@ -111,7 +117,7 @@
                 ObjectKind.BOXES,
                 self.platform,
                 self.metrics,
-                chance,
+                rng,
                 box_from,
                 self._boxes_changed,
             ),
@@ -119,29 +125,29 @@
         settings = SettingsFollower(
             self.platform,
             self.metrics,
-            chance,
-            self.keeper,
+            rng,
+            self.settings_task,
             self.config.box,
             lambda: self.peering.roster.live_boxes,
         )
         cases = CasesFollower(
-            self.config.box, self.platform, self.cases, self.peering, self.metrics, chance
+            self.config.box, self.platform, self.cases, self.peering, self.metrics, rng
         )
         return [settings, cases, *lists]
 
     def _make_servers(self) -> list:
         entry = Entry(
-            self.desk, self.gate, self.environment, self.metrics, lambda: self.peering.ready
+            self.call_handler, self.gate, self.environment, self.metrics, lambda: self.peering.ready
         )
         operators = Operators(
             self.config,
             self.incarnation,
             self.decider,
-            self.keeper,
+            self.settings_task,
             self.peering,
             self.gate,
             self.metrics,
-            self.ask_stop,
+            self.request_stop,
         )
         return [
             make_server(
@@ -162,17 +168,17 @@
     def _boxes_changed(self, boxes: list[Box]) -> None:
         self.decider.send(SetBoxes(boxes))
         self.budgets.boxes = len(boxes)
-        self.peering.boxes_changed()
+        self.peering.update_peers()
 
     def _control(self) -> Control:
-        return self.keeper.snapshot.tree.fleet.control
+        return self.settings_task.snapshot.tree.fleet.control
 
-    # Life and end.
+    # Start and stop.
 
     def start(self) -> None:
         """Start all tasks and listen; raises OSError if a port is taken."""
         quiet_cherrypy()
-        for task in (self.decider, self.keeper, self.claims, self.tickets):
+        for task in (self.decider, self.settings_task, self.claims, self.tickets):
             task.start()
         self.peering.start(self.peer_handler)
         for follower in [*self.followers, self.cases]:
@@ -182,58 +188,58 @@
             threading.Thread(target=server.serve, daemon=True).start()
         self._log.info('box.started', box=self.config.box, incarnation=self.incarnation)
 
-    def ask_stop(self) -> None:
-        """Begin a planned stop; a second ask cuts what is in flight."""
-        self._stops_wanted += 1
+    def request_stop(self) -> None:
+        """Start a planned stop; a second request cuts the calls in flight."""
+        self._stop_requests += 1
         self._stopping.set()
 
     def wait(self) -> int:
-        """Serve until a stop is asked for, then leave in good order.
+        """Serve until a stop is requested, then shut down gracefully.
 
-        The number of calls that are cut: none, unless a second stop was
-        asked for or the limit has passed.
+        Returns the number of calls that were cut: 0, unless a second stop was
+        requested or `drain_limit` has passed.
         """
         self._stopping.wait()
         self._log.info('box.draining', calls=self.gate.active)
         self.gate.draining = True
-        self.peering.tell_leaving()
-        # The balancer needs a moment to see that this box is not ready.
+        self.peering.send_leaving()
+        # The load balancer needs time to notice that this box is not ready.
         self._wait_unless_cut(self.config.drain_grace, until_empty=False)
         self.gate.close()
         self._wait_unless_cut(self.config.drain_limit, until_empty=True)
         cut = self.gate.active
         self._log.info('box.stopped', calls_cut=cut)
         if not cut:
-            self._shut()
+            self._close()
         return cut
 
     def _wait_unless_cut(self, seconds: float, until_empty: bool) -> None:
-        ends = self.environment.monotonic() + seconds
-        while self._stops_wanted < 2 and self.environment.monotonic() < ends:
+        deadline = self.environment.monotonic() + seconds
+        while self._stop_requests < 2 and self.environment.monotonic() < deadline:
             if self.gate.wait_empty(0.1) and until_empty:
                 return
             if not until_empty:
                 self.environment.sleep(0.05)
 
-    def _shut(self) -> None:
+    def _close(self) -> None:
         for server in self._servers:
             server.stop()
         for follower in [*self.followers, self.cases]:
             follower.stop()
         self.peer_handler.stop()
         self.peering.stop()
-        for task in (self.claims, self.tickets, self.keeper, self.decider):
+        for task in (self.claims, self.tickets, self.settings_task, self.decider):
             task.stop()
         self.engines.close()
         self.platform.close()
 
 
 def serve(config: BoxConfig, environment: Environment) -> None:
-    """Run a box in this process until it is told to stop."""
+    """Run a box in this process until a signal or an operator stops it."""
     process = BoxProcess(config, environment)
     for number in SIGNALS:
-        signal.signal(number, lambda *_: process.ask_stop())
+        signal.signal(number, lambda *_: process.request_stop())
     process.start()
     if process.wait():
-        # Threads that still write would keep the process alive.
+        # Threads that still send answers would keep the process alive.
         os._exit(ExitStatus.ERROR)
--- a/tests/test_engine_uses.py
+++ b/tests/test_engine_uses.py
@@ -1,4 +1,4 @@
-"""What operators are told of engines that get no new work."""
+"""Logs and gauges of engines that get no new calls."""
 
 import io
 import json
@@ -43,7 +43,7 @@
         self.assertEqual(1, use.used)
         self.assertEqual(dict.fromkeys(UnusedReason, 1), use.unused)
 
-    def test_suspects_that_serve_since_nobody_else_does_are_in_use(self):
+    def test_suspects_that_serve_for_lack_of_other_engines_are_in_use(self):
         view = view_of(Phase.LIVE)
         view.record_failure('e0', 0.0)
         self.assertEqual(
@@ -51,7 +51,7 @@
         )
 
 
-class TestTelling(testtools.TestCase):
+class TestEngineUseReports(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.logs = io.StringIO()
@@ -59,19 +59,19 @@
         self.metrics = Metrics()
         self.uses = EngineUses(self.metrics)
 
-    def note(self, *phases: Phase) -> None:
-        self.uses.note([view_of(*phases).service_use(SERVICE, 0.0)])
+    def record(self, *phases: Phase) -> None:
+        self.uses.record([view_of(*phases).service_use(SERVICE, 0.0)])
 
-    def test_a_service_is_told_once_when_more_than_a_third_is_unused_and_once_after(self):
+    def test_a_service_is_logged_once_above_a_third_unused_and_once_when_below_again(self):
         for _ in range(2):
-            self.note(Phase.LEAVING, Phase.LEAVING, Phase.LIVE)
-        self.note(Phase.LEAVING, Phase.LIVE, Phase.LIVE)
+            self.record(Phase.LEAVING, Phase.LEAVING, Phase.LIVE)
+        self.record(Phase.LEAVING, Phase.LIVE, Phase.LIVE)
         lines = [json.loads(line) for line in self.logs.getvalue().splitlines()]
         self.assertEqual([True, False], [line['above_share'] for line in lines])
         self.assertEqual((1, {'leaving': 2}), (lines[0]['used'], lines[0]['unused']))
 
     def test_the_metrics_page_has_a_gauge_for_each_reason(self):
-        self.note(Phase.LEAVING, Phase.LIVE)
+        self.record(Phase.LEAVING, Phase.LIVE)
         page = self.metrics.page().decode()
         self.assertIn('seamhold_engines{service="llm",use="in_use"} 1.0', page)
         self.assertIn('seamhold_engines{service="llm",use="leaving"} 1.0', page)
