--- a/packages/messages/seamhold_messages/__init__.py
+++ b/packages/messages/seamhold_messages/__init__.py
@@ -1,3 +1,3 @@
-"""Typed messages and errors that seamhold's parts exchange."""
+"""Typed messages and errors shared by seamhold's packages."""
 
 __version__ = '0.1.0'
--- a/packages/messages/seamhold_messages/errors.py
+++ b/packages/messages/seamhold_messages/errors.py
@@ -1,23 +1,23 @@
-"""Every way a call or an operation can fail, each with a stable code.
+"""Errors of calls and operations, each with a stable code.
 
-A code never changes its meaning once released: callers and operators match
-on it.  `docs/OPERATIONS.md` lists what to do about each.
+The meaning of a released code never changes because callers and operators match
+on it.  `docs/OPERATIONS.md` lists the action to take for each code.
 """
 
 from enum import StrEnum
 
 
 class Ran(StrEnum):
-    """Whether a failed call may have run at an engine."""
+    """Whether an engine may have executed a failed call."""
 
     NO = 'no'
     UNKNOWN = 'unknown'
 
 
 class SeamholdError(Exception):
-    """Base of all failures.
+    """Base class of all errors.
 
-    `code` is stable, `status` is the HTTP status a caller sees, `ran` says
+    `code` is stable, `status` is the HTTP status returned to the caller, `ran` states
     whether the call may have run, `retry_after` is in seconds.
     """
 
@@ -32,24 +32,24 @@
 
 
 class Internal(SeamholdError):
-    """A fault of seamhold itself; the call may have run."""
+    """An internal error of seamhold; the call may have run."""
 
     code = 'internal'
     ran = Ran.UNKNOWN
 
 
 class BoxFull(SeamholdError):
-    """This box answers as many calls as it may; another may have room."""
+    """This box is at its limit of concurrent calls; another box may have capacity."""
 
     code = 'box_full'
     status = 503
 
 
-# What the caller has to mend.
+# Errors that the caller must correct.
 
 
 class BadRequest(SeamholdError):
-    """The request is not one this route can read."""
+    """The request is malformed for this route."""
 
     code = 'bad_request'
     status = 400
@@ -62,7 +62,7 @@
 
 
 class Unauthorized(SeamholdError):
-    """The key is missing or names no workspace."""
+    """The API key is missing or belongs to no workspace."""
 
     code = 'unauthorized'
     status = 401
@@ -76,7 +76,7 @@
 
 
 class CallerTooSlow(SeamholdError):
-    """The request's body did not come in time, or its caller left."""
+    """The request body did not arrive in time, or the caller disconnected while sending it."""
 
     code = 'caller_too_slow'
     status = 408
@@ -90,14 +90,14 @@
 
 
 class UnknownRoute(SeamholdError):
-    """No route begins this path at this host."""
+    """No route matches this host and path prefix."""
 
     code = 'unknown_route'
     status = 404
 
 
 class CallerLeft(SeamholdError):
-    """The caller closed its connection before the answer was whole."""
+    """The caller closed its connection before the answer was complete."""
 
     code = 'caller_left'
     status = 499
@@ -111,102 +111,102 @@
     status = 404
 
 
-# Refused before anything was sent to an engine.
+# Calls refused before anything was sent to an engine, or that the engine did not run.
 
 
 class NoEngine(SeamholdError):
-    """No live engine serves this service as far as this box knows."""
+    """This box knows of no live engine for the service."""
 
     code = 'no_engine'
     status = 503
 
 
 class FleetFull(SeamholdError):
-    """Every engine of the service is at its slots and the queue is full."""
+    """All slots of the service's engines are taken and the queue is full."""
 
     code = 'fleet_full'
     status = 503
 
 
 class WorkspaceLimit(SeamholdError):
-    """The workspace is at its limit."""
+    """The workspace has reached one of its limits."""
 
     code = 'workspace_limit'
     status = 429
 
 
 class DeadlineUnmeetable(SeamholdError):
-    """The queue is longer than the time the caller left."""
+    """The expected wait in the queue exceeds the time left until the call's deadline."""
 
     code = 'deadline_unmeetable'
     status = 503
 
 
 class DeadlinePassed(SeamholdError):
-    """The caller's time ran out while the call was still waiting."""
+    """The call's deadline passed while it was still queued."""
 
     code = 'deadline_passed'
     status = 504
 
 
 class NotReady(SeamholdError):
-    """The box has no settings yet, or it is stopping."""
+    """The box has not loaded its settings yet, or it is shutting down."""
 
     code = 'not_ready'
     status = 503
 
 
 class RetryBudgetSpent(SeamholdError):
-    """Nothing ran, and this box has no retries left to spend on it."""
+    """The call did not run, and this box's retry budget is exhausted."""
 
     code = 'retry_budget_spent'
     status = 503
 
 
 class EngineUnreachable(SeamholdError):
-    """The engine took no connection, so nothing was sent."""
+    """The engine accepted no connection, so nothing was sent."""
 
     code = 'engine_unreachable'
     status = 502
 
 
 class EngineRefused(SeamholdError):
-    """The engine said that it did not run the call."""
+    """The engine reported that it did not run the call."""
 
     code = 'engine_refused'
     status = 503
 
 
 class ClaimsUnavailable(SeamholdError):
-    """The platform could not record the call's key, so it was not sent."""
+    """The platform could not record the call's idempotency key, so the call was not sent."""
 
     code = 'claims_unavailable'
     status = 503
 
 
 class ClaimsFull(SeamholdError):
-    """The bucket of recorded keys has no room until older ones expire."""
+    """The bucket of recorded idempotency keys is full until older keys expire."""
 
     code = 'claims_full'
     status = 503
 
 
 class RequestQuarantined(SeamholdError):
-    """Each engine that ran this request ended; it is not sent to another now."""
+    """Each engine that ran this request ended; for now it is sent to no other engine."""
 
     code = 'request_quarantined'
     status = 503
 
 
 class RequestOnTrial(SeamholdError):
-    """Engines ended under this request; the same one runs alone elsewhere at the moment."""
+    """Engines ended under this request, and a trial run of it is in progress elsewhere."""
 
     code = 'request_on_trial'
     status = 503
 
 
 class TicketsFull(SeamholdError):
-    """The box holds as many open tickets as it may."""
+    """The box is at its limit of open tickets."""
 
     code = 'tickets_full'
     status = 503
@@ -224,14 +224,14 @@
 
 
 class EngineMisdirected(SeamholdError):
-    """Another incarnation has the engine's address; it did not run the call."""
+    """Another incarnation now has the engine's address; it did not run the call."""
 
     code = 'engine_misdirected'
     status = 503
 
 
 class AnswerTimeout(SeamholdError):
-    """The engine did not answer within the caller's time."""
+    """The engine did not answer before the call's deadline."""
 
     code = 'answer_timeout'
     status = 504
@@ -239,7 +239,7 @@
 
 
 class AnswerCut(SeamholdError):
-    """The answer ended before it was whole."""
+    """The answer ended before it was complete."""
 
     code = 'answer_cut'
     status = 502
@@ -247,7 +247,7 @@
 
 
 class AnswerMismatch(SeamholdError):
-    """The engine answered with the id of another request."""
+    """The request id in the engine's answer is that of another request."""
 
     code = 'answer_mismatch'
     status = 502
@@ -255,7 +255,7 @@
 
 
 class KeyInUse(SeamholdError):
-    """An earlier arrival with this idempotency key was sent to an engine."""
+    """An earlier request with this idempotency key was already sent to an engine."""
 
     code = 'key_in_use'
     status = 409
@@ -263,7 +263,7 @@
 
 
 class KeyMismatch(SeamholdError):
-    """The idempotency key or ticket came before with another body."""
+    """The idempotency key or ticket was used before with a different body."""
 
     code = 'key_mismatch'
     status = 422
@@ -271,7 +271,7 @@
 
 
 class TicketUnknown(SeamholdError):
-    """No living box remembers this ticket; it is never run again."""
+    """No live box holds this ticket; its call is never run again."""
 
     code = 'ticket_unknown'
     status = 409
@@ -279,18 +279,18 @@
 
 
 class TicketUnreachable(SeamholdError):
-    """The box that holds the ticket does not answer now."""
+    """The box that holds the ticket does not answer at present."""
 
     code = 'ticket_unreachable'
     status = 503
     ran = Ran.UNKNOWN
 
 
-# Operators and the platform.
+# Errors of operators' commands and of the platform.
 
 
 class SettingsInvalid(SeamholdError):
-    """A tree or box file breaks the schema; `detail` names path and rule."""
+    """A settings tree or box file violates the schema; `detail` names the path and the rule."""
 
     code = 'settings_invalid'
     status = 422
@@ -304,21 +304,21 @@
 
 
 class PlatformUnavailable(SeamholdError):
-    """The platform's object API did not answer; a write may have landed."""
+    """The platform's object API did not answer; a write may have been applied."""
 
     code = 'platform_unavailable'
     status = 503
 
 
 class PlatformConflict(SeamholdError):
-    """The object's version moved on before the conditional write."""
+    """The object's version changed before the conditional write."""
 
     code = 'platform_conflict'
     status = 409
 
 
 class PlatformGone(SeamholdError):
-    """The watch asked for a version the platform no longer keeps."""
+    """The watch requested a version that the platform no longer keeps."""
 
     code = 'platform_gone'
     status = 410
@@ -332,19 +332,19 @@
 
 
 class PlatformThrottled(PlatformUnavailable):
-    """The platform asks its callers to come back later."""
+    """The platform rate-limits its clients; try again later."""
 
     code = 'platform_throttled'
 
 
 class EntryUnreadable(SeamholdError):
-    """An entry of a list lacks a field or has one of another type: it names nothing."""
+    """A list entry lacks a field or has one of the wrong type, so it cannot be identified."""
 
     code = 'entry_unreadable'
 
 
 class EntryUnsound(EntryUnreadable):
-    """An entry of a list has all its fields, and one says what cannot be."""
+    """A list entry has all its fields, but one has an impossible value."""
 
     code = 'entry_unsound'
 
@@ -356,11 +356,11 @@
     return found
 
 
-#: Each stable code and the type that carries it.
+#: Maps each stable code to its exception class.
 ERRORS_BY_CODE = _codes(SeamholdError)
 
 
 def error_from(code: str, detail: str = '', retry_after: float | None = None):
-    """Rebuild a failure that crossed the wire; unknown codes stay failures."""
+    """Rebuild an error received from a peer; an unknown code becomes EngineFailed."""
     kind = ERRORS_BY_CODE.get(code, EngineFailed)
     return kind(detail, retry_after)
--- a/packages/messages/seamhold_messages/fleet.py
+++ b/packages/messages/seamhold_messages/fleet.py
@@ -1,4 +1,4 @@
-"""What the parts say about boxes and engines."""
+"""Descriptions of boxes and engines."""
 
 from enum import StrEnum
 
@@ -7,7 +7,7 @@
 
 
 class Phase(StrEnum):
-    """How far a box or an engine may be given new work."""
+    """State of a box or an engine; it decides whether new work may be sent there."""
 
     LIVE = 'live'
     SUSPECT = 'suspect'
@@ -17,14 +17,14 @@
 
 
 class Engine(Struct, frozen=True):
-    """One back end as the platform's list names it.
-
-    `name` is of one start of the engine: another start holds and knows nothing of this
-    one, so each belief about an engine is held by its name.  `incarnation` is what it
-    is told to be expected as, `slots` is how many calls it takes at once, `weight` its
-    share relative to its siblings.  `cold_seconds` is how much longer it is slow from
-    its start, by its own word, and `started` when that was, in milliseconds since 1970,
-    0 if it does not tell.
+    """One backend server as listed by the platform.
+
+    `name` identifies one start of the engine: a restarted engine keeps no state, so
+    beliefs about an engine are stored under this name.  `incarnation` is the value
+    that calls to the engine state as the expected instance, `slots` its maximum number
+    of concurrent calls, `weight` its share relative to the service's other engines.
+    `cold_seconds` is how much longer it expects to be slow after its start, and `started`
+    the time of the start in milliseconds since 1970, 0 if the engine does not report it.
     """
 
     name: str
@@ -39,11 +39,11 @@
     started: int = 0
 
 
-def is_news_of_engine(before: Engine | None, after: Engine | None) -> bool:
-    """Whether an engine's entry tells more than that time passed.
+def is_update_for_engine(before: Engine | None, after: Engine | None) -> bool:
+    """Whether an engine's entry changed in more than its remaining cold time.
 
-    One that is cold says how long it still is with each heartbeat; each time that the
-    list was handed on for that, all boxes pulled it.
+    A cold engine reports its remaining cold time with each heartbeat; if that counted
+    as a change of the list, all boxes would pull the list each time.
     """
     if before is None or after is None or not 0 < after.cold_seconds <= before.cold_seconds:
         return before != after
@@ -51,7 +51,7 @@
 
 
 class Evacuation(Struct, frozen=True):
-    """The operators ask that engines in a failure domain, `name`, get no new work."""
+    """An operators' request that engines in the failure domain `name` get no new work."""
 
     name: str
 
--- a/packages/messages/seamhold_messages/work.py
+++ b/packages/messages/seamhold_messages/work.py
@@ -1,4 +1,4 @@
-"""What the parts say about a call and the work it brings."""
+"""Calls, the work they cause, and placement decisions."""
 
 from enum import IntEnum
 
@@ -6,7 +6,7 @@
 
 
 class Priority(IntEnum):
-    """Order in a queue; lower goes first."""
+    """Queue priority; lower values go first."""
 
     INTERACTIVE = 0
     NORMAL = 1
@@ -14,7 +14,7 @@
 
 
 class Work(Struct, frozen=True):
-    """Work in flight: calls, and the tokens estimated for them at dispatch."""
+    """Work in flight: number of calls, and the tokens estimated for them at dispatch."""
 
     requests: int = 0
     tokens: int = 0
@@ -30,26 +30,26 @@
 
 
 class Usage(Struct, frozen=True):
-    """One workspace on one box: work in flight and the calls it wants.
+    """Usage of one workspace on one box: work in flight and demand.
 
-    `over` is the part of the work that is above the box's share by now: shares move before
-    the work that was admitted under them has ended.
+    `excess` is the part of the work that now exceeds the box's share: a share can shrink
+    before the work admitted under it has ended.
     """
 
     work: Work = NO_WORK
     demand: float = 0.0
-    over: Work = NO_WORK
+    excess: Work = NO_WORK
 
 
 class Call(Struct, frozen=True):
-    """One call that asks for a place.
-
-    `chat` is the salted key that ranks engines; `deadline` is in seconds on
-    the clock of the box that decides; `hint` tells which engine served the
-    chat's last turn, or None; `excluded` holds engines already tried.  A call
-    that is not `sticky` reuses nothing and goes where the load is least.
-    `objective` is the time to the first byte that counts as in time, in
-    seconds, None if the settings name none.
+    """One call to be placed on an engine.
+
+    `chat` is the salted key that ranks engines; `deadline` is in seconds on the
+    clock of the deciding box; `hint` is the engine that served the chat's
+    previous turn, '' if unknown; `excluded` holds engines already tried.  A call
+    that is not `sticky` reuses no cache and goes to the least loaded engine.
+    `objective` is the target time to the first byte in seconds, None if the
+    settings define none.
     """
 
     id: str
@@ -66,14 +66,14 @@
 
 
 class Holding(Struct, frozen=True):
-    """An engine that has read what a chat shares; `chat` is a 32-bit hash of its key."""
+    """An engine that caches a chat's shared prompt; `chat` is a 32-bit hash of its key."""
 
     chat: int
     engine: str
 
 
 class LoadReading(Struct, frozen=True):
-    """The calls that an engine said run or wait there, `age` seconds ago."""
+    """Number of calls running or queued at an engine, as it reported `age` seconds ago."""
 
     engine: str
     requests: int
@@ -81,11 +81,11 @@
 
 
 class FailureReport(Struct, frozen=True):
-    """What the calls of box `origin` met at an engine, `age` seconds ago.
+    """Failures of box `origin`'s calls to an engine, as of `age` seconds ago.
 
-    `count` of them failed in the seconds before.  `incarnation_key` is a 32-bit hash
-    of the engine's start if these calls made it suspect, else 0.  `stamp` grows with
-    each report of the origin.
+    `count` is the number of recent failures.  `incarnation_key` is a 32-bit hash of
+    the engine's incarnation if these failures made it suspect, else 0.  `stamp` grows
+    with each report of the origin.
     """
 
     origin: str
@@ -97,30 +97,30 @@
 
 
 class WatcherHeartbeat(Struct, frozen=True):
-    """A box that watched the platform's store for all, `age` seconds ago."""
+    """Heartbeat, `age` seconds old, of a box that watches the platform's store for all boxes."""
 
     box: str
     age: float = 0.0
 
 
 class Suspect(Struct, frozen=True):
-    """An engine at which calls fail; `incarnation_key` is a 32-bit hash of its start."""
+    """An engine whose calls fail; `incarnation_key` is a 32-bit hash of its incarnation."""
 
     engine: str
     incarnation_key: int
 
 
 class Placed(Struct, frozen=True):
-    """The call goes to `engine`, which stands at `rank` for its chat.
-
-    `spilled` tells that it is not the one that holds the chat's cache, as
-    far as that is known; `fetch_engine` is one that should, at `fetch_from`, and
-    `holders` counts those that are known.  `load` and `mean` are the calls that
-    the box knew on the engine and on the average one when it decided; `load_age` is
-    how long before the engine had told it, in seconds, None if boxes told it.
-    `mean_of_all` counts engines that leave, too, as the bound does; `silent` tells that
-    the engine did not answer this box.  `engines` were those that might get the call, `idle`
-    those that are up and get no new work.
+    """The call goes to `engine`, whose rank for the chat is `rank`.
+
+    `spilled` states that the engine is not known to hold the chat's cache;
+    `fetch_engine`, at `fetch_from`, is one that should hold it, and `holders` is the
+    number of engines known to hold it.  `load` is the number of calls on the engine and
+    `mean` the average per engine, both as known to the box when it decided; `load_age` is
+    the age in seconds of the engine's own load report, None if the load came from boxes.
+    `mean_of_all` includes leaving engines, as the load bound does; `silent` states that the
+    engine did not answer this box.  `engines` counts the candidates for the call, `idle` the
+    engines that are up but get no new work.
     """
 
     call_id: str
@@ -142,7 +142,7 @@
 
 
 class Refused(Struct, frozen=True):
-    """The call was not sent; `code` is one of `errors.ERRORS_BY_CODE`."""
+    """The call was not sent; `code` is a key of `errors.ERRORS_BY_CODE`."""
 
     call_id: str
     code: str
@@ -151,7 +151,7 @@
 
 
 class Queued(Struct, frozen=True):
-    """The call waits; `Placed` or `Refused` follows."""
+    """The call is queued; `Placed` or `Refused` follows."""
 
     call_id: str
 
--- a/packages/peers/seamhold_peers/__init__.py
+++ b/packages/peers/seamhold_peers/__init__.py
@@ -1,15 +1,15 @@
-"""Messages between boxes over gRPC."""
+"""Digests and gRPC calls between boxes."""
 
 from .calls import (
     AnswerEnd,
     AnswerHead,
     AnswerPart,
-    ClaimAsk,
+    ClaimRequest,
     FleetLists,
     RelayedCall,
 )
 from .client import PeerClient
-from .codec import CasesPage, EndsKnown
+from .codec import CasesPage, EndReportReply
 from .datagrams import DigestPort, EncodedDigest
 from .digest_codec import MESSAGE_OVERHEAD_BYTES, DigestReader, encode_digest
 from .names import NameTable
@@ -21,11 +21,11 @@
     'AnswerHead',
     'AnswerPart',
     'CasesPage',
-    'ClaimAsk',
+    'ClaimRequest',
     'DigestPort',
     'DigestReader',
     'EncodedDigest',
-    'EndsKnown',
+    'EndReportReply',
     'FleetLists',
     'NameTable',
     'PeerClient',
--- a/packages/peers/seamhold_peers/calls.py
+++ b/packages/peers/seamhold_peers/calls.py
@@ -1,4 +1,4 @@
-"""What boxes ask of one another besides digests."""
+"""Messages of the gRPC calls between boxes."""
 
 from msgspec import Struct
 
@@ -8,11 +8,11 @@
 
 
 class FleetLists(Struct, frozen=True):
-    """The platform's lists as a box last saw them, and at which revision.
+    """The platform's lists as a box last received them, with their versions.
 
-    A version of 0 means that the platform does not tell one.  `held` tells
-    which engines have read which chats, if that was asked for; `held_complete`
-    that the box has known for long, or from one that has.
+    A version of 0 means that the platform states none.  `held` lists which engines
+    cache which chats, if requested; `held_complete` states that the box has collected
+    this for long enough, or got it from a box that has.
     """
 
     engines: list[Engine]
@@ -33,10 +33,10 @@
 
 
 class RelayedCall(Struct, frozen=True):
-    """A caller's request on its way to the box that holds its ticket.
+    """A caller's request, relayed to the box that holds its ticket.
 
-    `remaining` is what the caller's deadline leaves, in seconds: the box
-    that receives it sets it against its own clock.
+    `remaining` is the time left until the call's deadline, in seconds: the
+    receiving box applies it to its own clock.
     """
 
     request_id: str
@@ -57,7 +57,7 @@
 
 
 class AnswerEnd(Struct, frozen=True):
-    """The relayed answer is whole, or failed with `error`."""
+    """End of a relayed answer: complete, or failed with `error`."""
 
     error: SeamholdError | None = None
 
@@ -65,8 +65,8 @@
 AnswerPart = AnswerHead | bytes | AnswerEnd
 
 
-class ClaimAsk(Struct, frozen=True):
-    """One key that a call wants to own; `wait` is in seconds."""
+class ClaimRequest(Struct, frozen=True):
+    """Request to claim an idempotency key for a call; `wait` is in seconds."""
 
     bucket: int
     key: str
--- a/packages/peers/seamhold_peers/client.py
+++ b/packages/peers/seamhold_peers/client.py
@@ -1,4 +1,4 @@
-"""One box's connection to one peer."""
+"""gRPC client for one peer."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -14,11 +14,11 @@
 from seamhold_settings.versions import Candidate
 
 from . import codec
-from .calls import AnswerPart, ClaimAsk, FleetLists, RelayedCall
+from .calls import AnswerPart, ClaimRequest, FleetLists, RelayedCall
 from .service import PeerStub
 
-#: What a broken or refused connection to a peer raises, or an answer that cannot be read.
-BROKEN = (
+#: Exceptions raised for a refused or broken connection to a peer, or an unreadable answer.
+PEER_ERRORS = (
     OSError,
     GRPCError,
     ProtocolError,
@@ -27,15 +27,15 @@
     codec.UnreadablePart,
 )
 PULL_SECONDS = 1.5
-#: A peer answers within some round trips, of 16 ms between regions; callers wait for it.
-TRIAL_SECONDS = 0.15
-#: One that is slow to answer whether a suspect may run is not passed over: two boxes that each
-#: let it run alone would end an engine each.
-ASK_SECONDS = 0.5
+#: Callers wait for the answer.  A peer needs a few round trips, 16 ms each between regions.
+REPORT_SECONDS = 0.15
+#: Longer than for reports: if a slow peer were skipped, two boxes could each permit a trial run
+#: of the same suspect request, and each run could end an engine.
+TRIAL_REQUEST_SECONDS = 0.5
 
 
 class PeerClient:
-    """Calls to the box at `address` (`ip:port`)."""
+    """Client for the box at `address` (`ip:port`)."""
 
     def __init__(self, address: str):
         host, _, port = address.rpartition(':')
@@ -43,29 +43,29 @@
         self._channel = Channel(host, int(port), codec=codec.MessageCodec())
         self._stub = PeerStub(self._channel)
 
-    async def pull_settings(self, known: dict[str, int]) -> list[Candidate]:
-        """Settings objects that the peer has newer; raises one of BROKEN."""
-        async with self._answer_within(PULL_SECONDS):
-            page = await self._stub.pull_settings(codec.SettingsKnown(known))
+    async def pull_settings(self, revisions: dict[str, int]) -> list[Candidate]:
+        """Return the settings objects that are newer at the peer; raises one of PEER_ERRORS."""
+        async with self._timeout(PULL_SECONDS):
+            page = await self._stub.pull_settings(codec.SettingsRequest(revisions))
         return [codec.decode_candidate(item) for item in page.objects]
 
     async def pull_lists(self, holdings: bool = False) -> FleetLists:
-        """The platform's lists as the peer saw them; raises one of BROKEN.
+        """Return the platform's lists as known to the peer; raises one of PEER_ERRORS.
 
-        With `holdings` also which engines the peer takes to hold which chats.
+        With `holdings`, include which engines the peer assumes to cache which chats.
         """
-        async with self._answer_within(PULL_SECONDS):
-            return codec.decode_lists(await self._stub.pull_lists(codec.ListsWanted(holdings)))
+        async with self._timeout(PULL_SECONDS):
+            return codec.decode_lists(await self._stub.pull_lists(codec.ListsRequest(holdings)))
 
     async def pull_learned(self) -> tuple[Holding, ...]:
-        """What engines told the peer of the chats that they hold; raises one of BROKEN."""
-        async with self._answer_within(PULL_SECONDS):
-            return codec.decode_holdings(await self._stub.pull_learned(codec.LearnedWanted()))
+        """Return the holdings that engines reported to the peer; raises one of PEER_ERRORS."""
+        async with self._timeout(PULL_SECONDS):
+            return codec.decode_holdings(await self._stub.pull_learned(codec.LearnedRequest()))
 
     async def relay(self, call: RelayedCall) -> AsyncIterator[AnswerPart]:
-        """Pass a call to the box that holds its ticket.
+        """Relay a call to the box that holds its ticket and yield the parts of the answer.
 
-        Raises TicketUnreachable when the peer is not there or breaks off.
+        Raises TicketUnreachable if the peer does not answer or the stream breaks.
         """
         try:
             async with (
@@ -75,49 +75,49 @@
                 await stream.send_message(call, end=True)
                 async for part in stream:
                     yield codec.decode_answer(part)
-        except BROKEN as error:
+        except PEER_ERRORS as error:
             raise TicketUnreachable('the box that holds the ticket does not answer') from error
 
-    async def claim(self, ask: ClaimAsk) -> ClaimState:
-        """Have the peer write a claim; raises ClaimsUnavailable."""
+    async def claim(self, request: ClaimRequest) -> ClaimState:
+        """Request that the peer write a claim; raises ClaimsUnavailable."""
         try:
-            async with self._answer_within(ask.wait):
-                reply = await self._stub.claim(ask)
-        except BROKEN as error:
-            raise ClaimsUnavailable(f'the box that writes the bucket: {error}') from error
+            async with self._timeout(request.wait):
+                reply = await self._stub.claim(request)
+        except PEER_ERRORS as error:
+            raise ClaimsUnavailable(f'the box that writes the bucket failed: {error}') from error
         return ClaimState(reply.state)
 
     async def pull_cases(self) -> codec.CasesPage:
-        """What the peer knows of requests that end engines; raises one of BROKEN."""
-        async with self._answer_within(PULL_SECONDS):
-            return await self._stub.pull_cases(codec.CasesWanted())
-
-    async def tell_cases(self, cases: tuple[Case, ...]) -> None:
-        """Tell of requests that end engines; raises one of BROKEN."""
-        async with asyncio.timeout(TRIAL_SECONDS):
-            await self._stub.tell_cases(codec.CasesPage(cases))
-
-    async def engine_ended(self, report: EndReport) -> codec.EndsKnown:
-        """Tell that an engine ended, and get what the peer knows; raises one of BROKEN."""
-        async with asyncio.timeout(TRIAL_SECONDS):
+        """Return the peer's cases of requests that end engines; raises one of PEER_ERRORS."""
+        async with self._timeout(PULL_SECONDS):
+            return await self._stub.pull_cases(codec.CasesRequest())
+
+    async def send_cases(self, cases: tuple[Case, ...]) -> None:
+        """Send cases of requests that end engines; raises one of PEER_ERRORS."""
+        async with asyncio.timeout(REPORT_SECONDS):
+            await self._stub.send_cases(codec.CasesPage(cases))
+
+    async def engine_ended(self, report: EndReport) -> codec.EndReportReply:
+        """Report that an engine ended and return the peer's state; raises one of PEER_ERRORS."""
+        async with asyncio.timeout(REPORT_SECONDS):
             return await self._stub.engine_ended(report)
 
-    async def ask_trial(self, ask: TrialRequest) -> Permission:
-        """Ask whether a suspect may run now; raises one of BROKEN."""
-        async with asyncio.timeout(ASK_SECONDS):
-            return await self._stub.ask_trial(ask)
+    async def request_trial(self, trial: TrialRequest) -> Permission:
+        """Ask whether a suspect request may run now; raises one of PEER_ERRORS."""
+        async with asyncio.timeout(TRIAL_REQUEST_SECONDS):
+            return await self._stub.request_trial(trial)
 
-    async def end_trial(self, over: TrialResult) -> None:
-        """Tell that a suspect's run is over; nobody waits for it; raises one of BROKEN."""
+    async def end_trial(self, result: TrialResult) -> None:
+        """Report that a trial run has ended; no caller waits for it; raises one of PEER_ERRORS."""
         async with asyncio.timeout(PULL_SECONDS):
-            await self._stub.end_trial(over)
+            await self._stub.end_trial(result)
 
     @asynccontextmanager
-    async def _answer_within(self, seconds: float) -> AsyncIterator[None]:
-        """Wait no longer, and call the peer on a new connection after that.
+    async def _timeout(self, seconds: float) -> AsyncIterator[None]:
+        """Limit a call to `seconds`; after a timeout, later calls use a new connection.
 
-        A connection may go silent without a reset: it would keep every later call
-        from a peer that is there.
+        A connection can stop delivering without a reset, and would then fail every
+        later call to a reachable peer.
         """
         try:
             async with asyncio.timeout(seconds):
@@ -127,5 +127,5 @@
             raise
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Close the connection."""
         self._channel.close()
--- a/packages/peers/seamhold_peers/codec.py
+++ b/packages/peers/seamhold_peers/codec.py
@@ -1,7 +1,7 @@
-"""What boxes ask of one another to bytes and back, in MessagePack.
+"""Encode and decode the messages of gRPC calls between boxes as MessagePack.
 
-MessagePack by msgspec in place of protocol buffers: the messages are the
-typed structs themselves, and a box has its library loaded anyway.
+MessagePack by msgspec instead of protocol buffers: the messages are the typed
+structs themselves, and the library is loaded in any case.
 """
 
 import json
@@ -18,25 +18,25 @@
 
 from .calls import AnswerEnd, AnswerHead, AnswerPart, FleetLists
 
-#: What a peer sends packed must not unpack to more.
+#: Limit on the decompressed size of a message from a peer.
 UNPACKED_MAX_BYTES = 64 * 1024 * 1024
 
 
 class UnreadablePart(ValueError):
-    """A message, or a packed part of one, that cannot be read."""
+    """A message, or a compressed part of one, cannot be decoded."""
 
 
 class MessageCodec(CodecBase):
-    """The messages of a gRPC call as MessagePack."""
+    """grpclib codec that encodes messages as MessagePack."""
 
     __content_subtype__ = 'msgpack'
 
     def encode(self, message: object, message_type: type) -> bytes:
-        """The bytes of `message`."""
+        """Return the encoded `message`."""
         return msgspec.msgpack.encode(message)
 
     def decode(self, data: bytes, message_type: type) -> object:
-        """A `message_type`; raises UnreadablePart."""
+        """Return a `message_type`; raises UnreadablePart."""
         return _decode(data, message_type)
 
 
@@ -47,16 +47,16 @@
         raise UnreadablePart(str(error)) from error
 
 
-class SettingsKnown(Struct, frozen=True):
-    """The revision of each settings object that the asker has in force."""
+class SettingsRequest(Struct, frozen=True):
+    """Request for newer settings, with the revision of each object active at the sender."""
 
     revisions: dict[str, int]
 
 
 class SettingsObjectPart(Struct, frozen=True):
-    """A settings object; its spec is JSON in zlib's format.
+    """A settings object; its spec is zlib-compressed JSON.
 
-    A tree is mostly repeated words, and links are thin.
+    Settings are repetitive and compress well, and bandwidth between boxes is scarce.
     """
 
     name: str
@@ -68,87 +68,87 @@
 
 
 class SettingsPage(Struct, frozen=True):
-    """Settings objects that are newer at the peer that was asked."""
+    """Reply with the settings objects that are newer at the peer."""
 
     objects: list[SettingsObjectPart]
 
 
-class ListsWanted(Struct, frozen=True):
-    """The asker wants the lists.
+class ListsRequest(Struct, frozen=True):
+    """Request for the platform's lists.
 
-    With `holdings`, when it has just started, also which engines have read
-    which chats.
+    With `holdings`, which a starting box sets, the reply includes which engines
+    cache which chats.
     """
 
     holdings: bool
 
 
 class PackedLists(Struct, frozen=True):
-    """FleetLists in zlib's format."""
+    """zlib-compressed FleetLists."""
 
     lists: bytes
 
 
-class LearnedWanted(Struct, frozen=True):
-    """The asker, which has just started, wants what engines told the peer."""
+class LearnedRequest(Struct, frozen=True):
+    """Request of a starting box for the holdings that engines reported to the peer."""
 
 
 class PackedHoldings(Struct, frozen=True):
-    """Holdings in zlib's format."""
+    """zlib-compressed holdings."""
 
     holdings: bytes
 
 
 class AnswerData(Struct, frozen=True, tag='data'):
-    """Bytes of a relayed answer's body."""
+    """A chunk of a relayed answer's body."""
 
     data: bytes
 
 
 class AnswerClosed(Struct, frozen=True, tag='closed'):
-    """The end of a relayed answer: whole, or with the code of a failure."""
+    """The end of a relayed answer: complete if `code` is empty, else failed with this code."""
 
     code: str = ''
     detail: str = ''
     retry_after: float | None = None
 
 
-#: A relayed answer travels as its head, then data, then how it ended.
+#: A relayed answer is a stream of one head, any number of data parts and one end.
 AnswerMessage = AnswerHead | AnswerData | AnswerClosed
 
 
 class ClaimReply(Struct, frozen=True):
-    """What became of a claim, a ClaimState."""
+    """Result of a claim; `state` is the value of a ClaimState."""
 
     state: str
 
 
-class EndsKnown(Struct, frozen=True):
-    """How many engines ended under a request, as far as the peer knows.
+class EndReportReply(Struct, frozen=True):
+    """Reply to an EndReport: `ends` is the number of engine ends the peer knows of.
 
-    `case` is what all boxes should know of it, None for nothing.
+    `case` is the request's case to be shared with all boxes, None if there is none.
     """
 
     ends: int
     case: Case | None = None
 
 
-class CasesWanted(Struct, frozen=True):
-    """The asker wants what the peer knows of requests that end engines."""
+class CasesRequest(Struct, frozen=True):
+    """Request for the peer's cases of requests that end engines."""
 
 
 class CasesPage(Struct, frozen=True):
-    """Requests under which engines ended, as the peer knows them.
+    """Cases of requests under which engines ended, as known to the sender.
 
-    `complete` tells that it has asked itself, at its start, what others know.
+    `complete` states that the sender has itself pulled its peers' cases since its start.
     """
 
     cases: tuple[Case, ...]
     complete: bool = False
 
 
-class Heard(Struct, frozen=True):
-    """The peer has heard what it was told."""
+class Acknowledgement(Struct, frozen=True):
+    """Empty reply that acknowledges a message."""
 
 
 def _unpack(data: bytes) -> bytes:
@@ -158,12 +158,12 @@
     except zlib.error as error:
         raise UnreadablePart(str(error)) from error
     if not unpacker.eof:
-        raise UnreadablePart(f'cut, or more than {UNPACKED_MAX_BYTES} bytes')
+        raise UnreadablePart(f'truncated, or larger than {UNPACKED_MAX_BYTES} bytes unpacked')
     return unpacked
 
 
 def encode_candidate(candidate: Candidate) -> SettingsObjectPart:
-    """A settings object as it travels."""
+    """Encode a settings object for the wire."""
     return SettingsObjectPart(
         candidate.name,
         candidate.revision,
@@ -175,33 +175,33 @@
 
 
 def decode_candidate(part: SettingsObjectPart) -> Candidate:
-    """A settings object as a peer has it in force."""
+    """Decode a settings object from a peer; raises UnreadablePart."""
     spec = json.loads(_unpack(part.spec_packed))
     return Candidate(part.name, part.revision, part.edit_id, spec, part.deleted, part.ancestors)
 
 
 def encode_lists(lists: FleetLists) -> PackedLists:
-    """The platform's lists as they travel."""
+    """Encode the platform's lists for the wire."""
     return PackedLists(zlib.compress(msgspec.msgpack.encode(lists)))
 
 
 def decode_lists(packed: PackedLists) -> FleetLists:
-    """The platform's lists as a peer saw them."""
+    """Decode the platform's lists from a peer; raises UnreadablePart."""
     return _decode(_unpack(packed.lists), FleetLists)
 
 
 def encode_holdings(holdings: tuple[Holding, ...]) -> PackedHoldings:
-    """Holdings as they travel."""
+    """Encode holdings for the wire."""
     return PackedHoldings(zlib.compress(msgspec.msgpack.encode(holdings)))
 
 
 def decode_holdings(packed: PackedHoldings) -> tuple[Holding, ...]:
-    """Holdings as a peer knows them."""
+    """Decode holdings from a peer; raises UnreadablePart."""
     return _decode(_unpack(packed.holdings), tuple[Holding, ...])
 
 
 def encode_answer(part: AnswerPart) -> AnswerMessage:
-    """A part of a relayed answer as it travels."""
+    """Encode a part of a relayed answer for the wire."""
     if isinstance(part, bytes):
         return AnswerData(part)
     if isinstance(part, AnswerHead):
@@ -212,7 +212,7 @@
 
 
 def decode_answer(message: AnswerMessage) -> AnswerPart:
-    """A part of a relayed answer as the first box passes it on."""
+    """Decode a part of a relayed answer; an unknown error code becomes EngineFailed."""
     if isinstance(message, AnswerData):
         return message.data
     if isinstance(message, AnswerHead):
--- a/packages/peers/seamhold_peers/digest_codec.py
+++ b/packages/peers/seamhold_peers/digest_codec.py
@@ -1,8 +1,8 @@
-"""Digests to bytes and back, in MessagePack.
+"""Encode and decode digests as MessagePack.
 
-Names of engines travel as 32-bit hashes; both sides know the names from the platform's
-list.  A hash that is not known yet is left out until its entry changes.  Workspaces are
-told by such hashes, too, and need no name.
+Names of engines are sent as 32-bit hashes; both sides know the names from the platform's
+list.  An entry whose hash is not known yet is left out until the entry changes.
+Workspaces are also identified by their hashes, which need no resolving.
 """
 
 import math
@@ -17,12 +17,12 @@
 from seamhold_messages.work import NO_WORK, Usage, Work
 
 from .names import NameTable, pack, pack_names, unpack
-from .news_codec import (
+from .update_codec import (
     HeartbeatColumns,
     HoldingColumns,
-    NewsReader,
     ReadingColumns,
     ReportColumns,
+    UpdateReader,
     age_seconds,
     age_steps,
     heartbeat_columns,
@@ -31,15 +31,15 @@
     report_columns,
 )
 
-#: Bytes around one datagram: UDP 8 and IP 20.
+#: Header bytes of one datagram: UDP 8 and IP 20.
 MESSAGE_OVERHEAD_BYTES = 28
-#: Bits of an incarnation's hash that a short digest carries.
+#: Bits of the hash of the sender's incarnation in a digest that is not full.
 START_BITS = 14
 TENTHS = 10
 
 
 class EventPart(Struct, frozen=True, array_like=True):
-    """An event; `kind` may be one that this version does not know."""
+    """An event; `kind` may be unknown to this version."""
 
     kind: int
     subject: str
@@ -48,7 +48,7 @@
 
 
 class LoadColumns(Struct, frozen=True, array_like=True):
-    """Work in flight, engine by engine; keys are packed."""
+    """Work in flight per engine; keys are packed."""
 
     engines: bytes
     requests: list[int]
@@ -56,22 +56,23 @@
 
 
 class UsageColumns(Struct, frozen=True, array_like=True):
-    """Work and demand, workspace by workspace; the hashes of their names are packed."""
+    """Work in flight and demand per workspace; the hashes of their names are packed."""
 
     workspaces: bytes
     requests: list[int]
     tokens: list[int]
     demand_tenths: list[int]
-    #: Work above the sender's share; None where there is none, as mostly.
-    over_requests: list[int] | None = None
-    over_tokens: list[int] | None = None
+    #: Work above the sender's share; None if there is none, which is the usual case.
+    excess_requests: list[int] | None = None
+    excess_tokens: list[int] | None = None
 
 
 class DigestPart(Struct, frozen=True, array_like=True):
-    """A digest as it travels.
+    """The wire format of a digest.
 
-    Only a full one spells its sender out; the others name the box by its hash
-    and its start by some bits of one.  What there is none of is None, a byte.
+    Only a full digest names its sender in text; others give the hash of the box's name
+    and START_BITS bits of the hash of its incarnation.  An empty part is None, which
+    takes one byte.
     """
 
     box: str | int
@@ -82,7 +83,7 @@
     leaving: bool
     store_lost: bool
     settings_total: int
-    settings_print: int
+    settings_fingerprint: int
     engines_version: int
     boxes_version: int
     loads: LoadColumns | None = None
@@ -96,25 +97,25 @@
     watchers: HeartbeatColumns | None = None
 
 
-class LongDigestPart(DigestPart, frozen=True, array_like=True):
-    """A digest where evacuations are followed; others are spared the byte."""
+class DigestPartWithEvacuations(DigestPart, frozen=True, array_like=True):
+    """A digest of a box that follows evacuations; other digests save the byte."""
 
     evacuations_version: int = 0
 
 
-class LongestDigestPart(LongDigestPart, frozen=True, array_like=True):
-    """A digest where engines ended under requests."""
+class DigestPartWithCases(DigestPartWithEvacuations, frozen=True, array_like=True):
+    """A digest of a box that has cases of requests under which engines ended."""
 
-    cases_print: int = 0
+    cases_fingerprint: int = 0
 
 
 def start_key(incarnation: str) -> int:
-    """A few bits that tell one start of a box from another."""
+    """Return START_BITS bits that distinguish one start of a box from another."""
     return hash32(incarnation) % 2**START_BITS
 
 
 def encode_digest(digest: Digest) -> bytes:
-    """A digest as it travels."""
+    """Encode a digest for the wire."""
     full = digest.full
     part = DigestPart(
         digest.box if full else NameTable.key(digest.box),
@@ -139,15 +140,15 @@
         heartbeat_columns(digest.watchers),
     )
     if digest.cases_fingerprint:
-        longest = (digest.evacuations_version, digest.cases_fingerprint)
-        part = LongestDigestPart(*astuple(part), *longest)
+        extra_fields = (digest.evacuations_version, digest.cases_fingerprint)
+        part = DigestPartWithCases(*astuple(part), *extra_fields)
     elif digest.evacuations_version:
-        part = LongDigestPart(*astuple(part), digest.evacuations_version)
+        part = DigestPartWithEvacuations(*astuple(part), digest.evacuations_version)
     return _ENCODER.encode(part)
 
 
 _ENCODER = msgspec.msgpack.Encoder()
-_DECODER = msgspec.msgpack.Decoder(LongestDigestPart)
+_DECODER = msgspec.msgpack.Decoder(DigestPartWithCases)
 
 
 def _load_columns(loads: dict[str, Work]) -> LoadColumns | None:
@@ -164,16 +165,16 @@
 def _usage_columns(usage: dict[int, Usage]) -> UsageColumns | None:
     if not usage:
         return None
-    told = usage.values()
-    over = any(one.over != NO_WORK for one in told)
+    usages = usage.values()
+    has_excess = any(one.excess != NO_WORK for one in usages)
     return UsageColumns(
         pack(usage),
-        [one.work.requests for one in told],
-        [one.work.tokens for one in told],
-        # Not down: a box counts on no more than others believe that it asked for.
-        [math.ceil(one.demand * TENTHS) for one in told],
-        [one.over.requests for one in told] if over else None,
-        [one.over.tokens for one in told] if over else None,
+        [one.work.requests for one in usages],
+        [one.work.tokens for one in usages],
+        # Rounded up: peers must not assume a lower demand than the box itself counts on.
+        [math.ceil(one.demand * TENTHS) for one in usages],
+        [one.excess.requests for one in usages] if has_excess else None,
+        [one.excess.tokens for one in usages] if has_excess else None,
     )
 
 
@@ -184,15 +185,15 @@
 
 
 class DigestReader:
-    """Reads digests, and knows who sends by the full ones."""
+    """Decodes digests; learns the senders from their full digests."""
 
     def __init__(self, names: NameTable):
         self._names = names
-        self._news = NewsReader(names)
+        self._updates = UpdateReader(names)
         self._starts: dict[int, tuple[str, str]] = {}
 
     def read(self, data: bytes) -> Digest | None:
-        """A digest, or None if it cannot be read or its sender is not known."""
+        """Return a digest, or None if it is unreadable or its sender is unknown."""
         try:
             part = _DECODER.decode(data)
             box, incarnation = self._sender(part)
@@ -200,8 +201,8 @@
         except (msgspec.MsgspecError, struct.error):
             return None
 
-    def _sender(self, part: LongestDigestPart) -> tuple[str, str]:
-        """The box and its incarnation, '' if they are not known."""
+    def _sender(self, part: DigestPartWithCases) -> tuple[str, str]:
+        """Return the box and its incarnation, '' each if they are unknown."""
         if isinstance(part.box, str):
             sender = (part.box, str(part.start))
             self._starts[NameTable.key(part.box)] = sender
@@ -211,7 +212,7 @@
             return ('', '')
         return (box, incarnation)
 
-    def _decode(self, part: LongestDigestPart, box: str, incarnation: str) -> Digest:
+    def _decode(self, part: DigestPartWithCases, box: str, incarnation: str) -> Digest:
         return Digest(
             box,
             incarnation,
@@ -219,22 +220,22 @@
             self._loads(part.loads),
             self._usage(part.usage),
             part.settings_total,
-            part.settings_print,
+            part.settings_fingerprint,
             [_event(event) for event in part.events or () if event.kind in list(EventKind)],
             part.seq,
             part.base,
             part.ack,
-            tuple(self._news.held(part.held)),
+            tuple(self._updates.held(part.held)),
             part.engines_version,
             part.boxes_version,
             part.store_lost,
             part.learned,
-            tuple(self._news.readings(part.readings)),
-            tuple(self._news.reports(part.reports)),
+            tuple(self._updates.readings(part.readings)),
+            tuple(self._updates.reports(part.reports)),
             None if part.store_age is None else age_seconds(part.store_age),
-            tuple(self._news.watchers(part.watchers)),
+            tuple(self._updates.watchers(part.watchers)),
             part.evacuations_version,
-            part.cases_print,
+            part.cases_fingerprint,
         )
 
     def _loads(self, part: LoadColumns | None) -> dict[str, Work]:
@@ -253,11 +254,11 @@
             return {}
         keys = unpack(part.workspaces)
         none = [0] * len(keys)
-        over = map(Work, part.over_requests or none, part.over_tokens or none)
-        rows = zip(keys, part.requests, part.tokens, part.demand_tenths, over, strict=False)
+        excess = map(Work, part.excess_requests or none, part.excess_tokens or none)
+        rows = zip(keys, part.requests, part.tokens, part.demand_tenths, excess, strict=False)
         return {
-            key: Usage(Work(requests, tokens), tenths / TENTHS, above)
-            for key, requests, tokens, tenths, above in rows
+            key: Usage(Work(requests, tokens), tenths / TENTHS, above_share)
+            for key, requests, tokens, tenths, above_share in rows
         }
 
 
--- a/packages/peers/seamhold_peers/service.py
+++ b/packages/peers/seamhold_peers/service.py
@@ -1,4 +1,4 @@
-"""The calls between boxes: their paths and the types of their messages."""
+"""gRPC calls between boxes: paths and message types."""
 
 from enum import StrEnum
 
@@ -7,11 +7,11 @@
 from seamhold_quarantine import EndReport, Permission, TrialRequest, TrialResult
 
 from . import codec
-from .calls import ClaimAsk, RelayedCall
+from .calls import ClaimRequest, RelayedCall
 
 
 class Path(StrEnum):
-    """Where each call is sent."""
+    """gRPC path of each call."""
 
     PULL_SETTINGS = '/seamhold.peers.v1.Peers/PullSettings'
     PULL_LISTS = '/seamhold.peers.v1.Peers/PullLists'
@@ -26,24 +26,30 @@
 
 
 class PeerStub:
-    """The client's side of the calls, on one channel."""
+    """Client stub of the calls on one channel."""
 
     def __init__(self, channel: Channel):
         self.pull_settings = UnaryUnaryMethod(
-            channel, Path.PULL_SETTINGS, codec.SettingsKnown, codec.SettingsPage
+            channel, Path.PULL_SETTINGS, codec.SettingsRequest, codec.SettingsPage
         )
         self.pull_lists = UnaryUnaryMethod(
-            channel, Path.PULL_LISTS, codec.ListsWanted, codec.PackedLists
+            channel, Path.PULL_LISTS, codec.ListsRequest, codec.PackedLists
         )
         self.pull_learned = UnaryUnaryMethod(
-            channel, Path.PULL_LEARNED, codec.LearnedWanted, codec.PackedHoldings
+            channel, Path.PULL_LEARNED, codec.LearnedRequest, codec.PackedHoldings
         )
         self.dispatch = UnaryStreamMethod(channel, Path.DISPATCH, RelayedCall, codec.AnswerMessage)
-        self.claim = UnaryUnaryMethod(channel, Path.CLAIM, ClaimAsk, codec.ClaimReply)
+        self.claim = UnaryUnaryMethod(channel, Path.CLAIM, ClaimRequest, codec.ClaimReply)
         self.pull_cases = UnaryUnaryMethod(
-            channel, Path.PULL_CASES, codec.CasesWanted, codec.CasesPage
+            channel, Path.PULL_CASES, codec.CasesRequest, codec.CasesPage
+        )
+        self.send_cases = UnaryUnaryMethod(
+            channel, Path.TELL_CASES, codec.CasesPage, codec.Acknowledgement
+        )
+        self.engine_ended = UnaryUnaryMethod(
+            channel, Path.ENGINE_ENDED, EndReport, codec.EndReportReply
+        )
+        self.request_trial = UnaryUnaryMethod(channel, Path.ASK_TRIAL, TrialRequest, Permission)
+        self.end_trial = UnaryUnaryMethod(
+            channel, Path.END_TRIAL, TrialResult, codec.Acknowledgement
         )
-        self.tell_cases = UnaryUnaryMethod(channel, Path.TELL_CASES, codec.CasesPage, codec.Heard)
-        self.engine_ended = UnaryUnaryMethod(channel, Path.ENGINE_ENDED, EndReport, codec.EndsKnown)
-        self.ask_trial = UnaryUnaryMethod(channel, Path.ASK_TRIAL, TrialRequest, Permission)
-        self.end_trial = UnaryUnaryMethod(channel, Path.END_TRIAL, TrialResult, codec.Heard)
--- a/packages/peers/seamhold_peers/news_codec.py
+++ b/packages/peers/seamhold_peers/update_codec.py
@@ -1,6 +1,6 @@
-"""What digests pass on, to columns and back.
+"""Encode and decode the updates that digests pass on, as columns.
 
-Ages travel in whole steps; a name that is not known here is left out.
+Ages are sent in whole steps; a row with an unknown name is left out.
 """
 
 import math
@@ -12,13 +12,13 @@
 
 from .names import NameTable, pack, pack_names, unpack
 
-#: Ages travel in steps of 20 ms, rounded up: a byte each up to 2.5 s.
+#: Ages are sent in steps of 20 ms, rounded up: one byte each up to 2.5 s.
 AGE_STEPS_PER_SECOND = 50
 AGE_STEPS_MAX = 2**15 - 1
 
 
 class ReadingColumns(Struct, frozen=True, array_like=True):
-    """What engines told of their load; keys are packed."""
+    """Load reported by engines; keys are packed."""
 
     engines: bytes
     requests: list[int]
@@ -26,7 +26,7 @@
 
 
 class ReportColumns(Struct, frozen=True, array_like=True):
-    """What boxes' calls met at engines that fail; keys are packed."""
+    """Boxes' reports of failed calls to engines; keys are packed."""
 
     origins: bytes
     engines: bytes
@@ -37,32 +37,32 @@
 
 
 class HeartbeatColumns(Struct, frozen=True, array_like=True):
-    """Boxes that watch the platform's store; keys are packed."""
+    """Heartbeats of boxes that watch the platform's store; keys are packed."""
 
     boxes: bytes
     ages: list[int]
 
 
 class HoldingColumns(Struct, frozen=True, array_like=True):
-    """Chats and the engines that hold them; keys are packed."""
+    """Chats and the engines that cache them; keys are packed."""
 
     chats: bytes
     engines: bytes
 
 
 def age_steps(seconds: float) -> int:
-    """An age as it travels."""
-    # At least one: what is passed on must not look as new as what it came from.
+    """Return an age in wire steps, at least 1 and at most AGE_STEPS_MAX."""
+    # At least 1: passed-on state must not look as fresh as its source.
     return min(AGE_STEPS_MAX, 1 + math.floor(seconds * AGE_STEPS_PER_SECOND))
 
 
 def age_seconds(steps: int) -> float:
-    """The age that travelled, in seconds."""
+    """Return an age from the wire in seconds."""
     return steps / AGE_STEPS_PER_SECOND
 
 
 def holding_columns(held: Iterable[Holding]) -> HoldingColumns | None:
-    """Who holds which chats, None if there is nothing."""
+    """Return the columns of holdings, None if there are none."""
     found = list(held)
     if not found:
         return None
@@ -72,7 +72,7 @@
 
 
 def reading_columns(readings: Iterable[LoadReading]) -> ReadingColumns | None:
-    """What engines told of their load, None if there is nothing."""
+    """Return the columns of load readings, None if there are none."""
     found = list(readings)
     if not found:
         return None
@@ -84,7 +84,7 @@
 
 
 def report_columns(reports: Iterable[FailureReport]) -> ReportColumns | None:
-    """What boxes met at engines, None if there is nothing."""
+    """Return the columns of failure reports, None if there are none."""
     found = list(reports)
     if not found:
         return None
@@ -99,7 +99,7 @@
 
 
 def heartbeat_columns(heartbeats: Iterable[WatcherHeartbeat]) -> HeartbeatColumns | None:
-    """Which boxes watch the platform, None if there is nothing."""
+    """Return the columns of watcher heartbeats, None if there are none."""
     found = list(heartbeats)
     if not found:
         return None
@@ -109,14 +109,14 @@
     )
 
 
-class NewsReader:
-    """Reads columns back, as far as their names are known."""
+class UpdateReader:
+    """Decodes columns; leaves out rows whose names are unknown."""
 
     def __init__(self, names: NameTable):
         self._names = names
 
     def held(self, part: HoldingColumns | None) -> Iterator[Holding]:
-        """Who holds which chats."""
+        """Yield the holdings."""
         if part is None:
             return
         for chat, key in zip(unpack(part.chats), unpack(part.engines), strict=False):
@@ -124,7 +124,7 @@
                 yield Holding(chat, name)
 
     def readings(self, part: ReadingColumns | None) -> Iterator[LoadReading]:
-        """What engines told of their load."""
+        """Yield the engines' load readings."""
         if part is None:
             return
         rows = zip(unpack(part.engines), part.requests, part.ages, strict=False)
@@ -133,7 +133,7 @@
                 yield LoadReading(name, requests, age_seconds(steps))
 
     def watchers(self, part: HeartbeatColumns | None) -> Iterator[WatcherHeartbeat]:
-        """Which boxes watch the platform."""
+        """Yield the heartbeats of boxes that watch the platform."""
         if part is None:
             return
         for key, steps in zip(unpack(part.boxes), part.ages, strict=False):
@@ -141,7 +141,7 @@
                 yield WatcherHeartbeat(name, age_seconds(steps))
 
     def reports(self, part: ReportColumns | None) -> Iterator[FailureReport]:
-        """What boxes met at engines."""
+        """Yield the boxes' failure reports."""
         if part is None:
             return
         rows = zip(
--- a/packages/settings/seamhold_settings/__init__.py
+++ b/packages/settings/seamhold_settings/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' tree of settings: schema, inheritance and versions."""
+"""The operators' settings tree: schema, inheritance and versions."""
 
 from .resolve import ResolvedRoute, SettingsObject, Tree, resolve
 from .schema import (
@@ -12,13 +12,14 @@
     WorkspaceSpec,
 )
 from .tree import SettingsFile, load_tree, read_tree
-from .versions import Candidate, InForce, Step
+from .versions import ActiveSettings, Candidate, OfferResult
 
 __all__ = [
+    'ActiveSettings',
     'Candidate',
     'FleetSpec',
-    'InForce',
     'Limits',
+    'OfferResult',
     'Placement',
     'Policy',
     'ResolvedRoute',
@@ -27,7 +28,6 @@
     'ServiceSpec',
     'SettingsFile',
     'SettingsObject',
-    'Step',
     'Tree',
     'WorkspaceSpec',
     'load_tree',
--- a/packages/settings/seamhold_settings/checking.py
+++ b/packages/settings/seamhold_settings/checking.py
@@ -1,4 +1,4 @@
-"""Reads plain values as a type of the schema, or says all that is wrong with them."""
+"""Converts plain values to schema types and reports every error in them."""
 
 from types import UnionType
 from typing import Annotated, TypeVar, get_args, get_origin
@@ -9,15 +9,15 @@
 
 from seamhold_messages.errors import SettingsInvalid
 
-TOP = '(top)'
-#: How much of a wrong value a message shows, in characters.
-SHOWN_MAX = 80
+ROOT_LABEL = '(top)'
+#: Limit on the characters of an invalid value shown in an error message.
+VALUE_MAX_CHARS = 80
 
 SpecT = TypeVar('SpecT', bound=Struct)
 
 
 def check(kind: type[SpecT], values: object) -> SpecT:
-    """Read `values` as `kind`, or raise SettingsInvalid that says why."""
+    """Convert `values` to `kind`; raises SettingsInvalid that lists all errors."""
     try:
         return msgspec.convert(values, kind)
     except msgspec.ValidationError as error:
@@ -25,11 +25,11 @@
 
 
 def problems(kind: object, values: object, path: str = '') -> list[str]:
-    """Path, rule and value of each thing that is wrong, a line each.
+    """Return one line per error, with its path, rule and value.
 
-    msgspec stops at the first and does not name the keys on the way to it.
+    msgspec stops at the first error and does not name the keys on the path to it.
     """
-    found = _problems_inside(kind, values, path)
+    found = _nested_problems(kind, values, path)
     if found:
         return found
     try:
@@ -41,49 +41,51 @@
 
 def _line(path: str, error: msgspec.ValidationError, value: object) -> str:
     rule = str(error).partition(' - at ')[0]
-    return f'{path or TOP}: {rule} (got {value!r:.{SHOWN_MAX}})'
+    return f'{path or ROOT_LABEL}: {rule} (got {value!r:.{VALUE_MAX_CHARS}})'
 
 
-def _problems_inside(kind: object, values: object, path: str) -> list[str]:
-    kind = _without_marks(kind)
+def _nested_problems(kind: object, values: object, path: str) -> list[str]:
+    kind = _base_type(kind)
     if isinstance(values, dict) and isinstance(kind, type) and issubclass(kind, Struct):
-        return _problems_of_keys(kind, values, path)
+        return _struct_problems(kind, values, path)
     if isinstance(values, dict) and get_origin(kind) is dict:
-        return _problems_of_entries(*get_args(kind), values, path)
+        return _dict_problems(*get_args(kind), values, path)
     if isinstance(values, list) and get_origin(kind) is list:
         (item,) = get_args(kind)
-        parts = enumerate(values)
-        return [line for at, value in parts for line in problems(item, value, _join(path, at))]
+        entries = enumerate(values)
+        return [
+            line for index, value in entries for line in problems(item, value, _join(path, index))
+        ]
     return []
 
 
-def _problems_of_keys(kind: type[Struct], values: dict, path: str) -> list[str]:
+def _struct_problems(kind: type[Struct], values: dict, path: str) -> list[str]:
     types = {field.name: field.type for field in fields(kind)}
     found = []
     for key, value in values.items():
         if key in types:
             found += problems(types[key], value, _join(path, key))
         else:
-            found.append(f'{_join(path, key)}: no such key (got {value!r:.{SHOWN_MAX}})')
+            found.append(f'{_join(path, key)}: no such key (got {value!r:.{VALUE_MAX_CHARS}})')
     return found
 
 
-def _problems_of_entries(key_kind: object, kind: object, values: dict, path: str) -> list[str]:
+def _dict_problems(key_kind: object, kind: object, values: dict, path: str) -> list[str]:
     found = []
     for key, value in values.items():
-        inside = _join(path, key)
-        found += problems(key_kind, key, inside)
-        found += problems(kind, value, inside)
+        key_path = _join(path, key)
+        found += problems(key_kind, key, key_path)
+        found += problems(kind, value, key_path)
     return found
 
 
-def _without_marks(kind: object) -> object:
-    """The type itself: neither its bounds, nor that it may be left out."""
+def _base_type(kind: object) -> object:
+    """Return the type without its Annotated bounds and without `| None`."""
     if get_origin(kind) is Annotated:
-        return _without_marks(get_args(kind)[0])
+        return _base_type(get_args(kind)[0])
     if get_origin(kind) is UnionType:
         (kind,) = (part for part in get_args(kind) if part is not type(None))
-        return _without_marks(kind)
+        return _base_type(kind)
     return kind
 
 
--- a/packages/settings/seamhold_settings/envelope.py
+++ b/packages/settings/seamhold_settings/envelope.py
@@ -1,4 +1,4 @@
-"""How a settings object is kept in the platform: the value and its edits."""
+"""Storage format of a settings object in the platform: its value and edit history."""
 
 from msgspec import Struct
 
@@ -6,14 +6,14 @@
 
 from .versions import Candidate
 
-#: Edits that an object remembers: enough to know an older copy when it
-#: comes back, and for an operator to read.
+#: Limit on the edits kept with an object: enough to recognize an older copy that the platform
+#: restores, and for operators to review.
 EDITS_MAX = 50
 UNKNOWN_AUTHOR = 'unknown'
 
 
 class Edit(Struct, frozen=True):
-    """One accepted write; `at` is in unix seconds."""
+    """One accepted write; `at` is a Unix time in seconds."""
 
     id: str
     at: float
@@ -31,7 +31,7 @@
 
     @classmethod
     def from_spec(cls, name: str, spec: dict) -> 'Envelope':
-        """Read what the platform holds, or raise SettingsInvalid."""
+        """Parse an object as stored in the platform; raises SettingsInvalid."""
         try:
             edits = tuple(Edit(row['id'], row['at'], row['author']) for row in spec['edits'])
             revision = int(spec['revision'])
@@ -39,18 +39,18 @@
         except (KeyError, TypeError, ValueError) as error:
             raise SettingsInvalid(f'{name}: not a settings object: {error!r}') from error
         if not edits:
-            raise SettingsInvalid(f'{name}: no edit names this version')
+            raise SettingsInvalid(f'{name}: the object has no edits')
         return cls(name, revision, edits, value, bool(spec.get('deleted')))
 
     @classmethod
     def from_candidate(cls, candidate: Candidate) -> 'Envelope':
-        """A version that came from a peer, which tells edits by id alone."""
+        """Return the envelope of a version from a peer, which sends only the edits' ids."""
         ids = (*candidate.ancestors, candidate.edit_id)
         edits = tuple(Edit(edit_id, 0.0, UNKNOWN_AUTHOR) for edit_id in ids)
         return cls(candidate.name, candidate.revision, edits, candidate.spec, candidate.deleted)
 
     def to_spec(self) -> dict:
-        """What the platform holds."""
+        """Return the object as stored in the platform."""
         edits = [{'id': edit.id, 'at': edit.at, 'author': edit.author} for edit in self.edits]
         return {
             'revision': self.revision,
@@ -59,17 +59,17 @@
             'deleted': self.deleted,
         }
 
-    def followed_by(self, edit: Edit, value: dict, deleted: bool = False) -> 'Envelope':
-        """The next version, one revision on."""
+    def next_version(self, edit: Edit, value: dict, deleted: bool = False) -> 'Envelope':
+        """Return the version that follows this one, its revision raised by one."""
         edits = (*self.edits, edit)[-EDITS_MAX:]
         return Envelope(self.name, self.revision + 1, edits, value, deleted)
 
     def candidate(self) -> Candidate:
-        """This version as a box weighs it."""
-        *before, last = (edit.id for edit in self.edits)
-        return Candidate(self.name, self.revision, last, self.value, self.deleted, tuple(before))
+        """Return this version as a candidate for a box's active settings."""
+        *ancestors, last = (edit.id for edit in self.edits)
+        return Candidate(self.name, self.revision, last, self.value, self.deleted, tuple(ancestors))
 
 
 def first_version(name: str, edit: Edit, value: dict) -> Envelope:
-    """An object that did not exist."""
+    """Return revision 1 of a new object."""
     return Envelope(name, 1, (edit,), value)
--- a/packages/settings/seamhold_settings/forwarding.py
+++ b/packages/settings/seamhold_settings/forwarding.py
@@ -1,7 +1,7 @@
-"""Routes of forwarded requests: found by host and by the longest path prefix.
+"""Lookup of forwarded routes by host and longest path prefix.
 
-A forwarded request reaches its backend server unchanged; which service that
-is, who may send it and how it is treated stands in the tree.
+A forwarded request reaches its backend server unchanged.  The settings tree defines
+its service, who may send it and its policy.
 """
 
 from seamhold_messages.hashing import HASH32_SPAN, hash32
@@ -13,9 +13,9 @@
 
 
 class RouteTable:
-    """The routes, keys and merged policies of one tree, ready for look-up.
+    """Index of the routes, keys and merged policies of one tree.
 
-    It is made when a tree comes into force and never changes.
+    It is built when a tree becomes active; its routes and keys never change.
     """
 
     def __init__(self, tree: Tree):
@@ -26,17 +26,17 @@
         for route in tree.fleet.forwarding:
             prefixes = self._by_host.setdefault(route.host.lower(), {})
             prefixes.setdefault(route.path_prefix, route)
-        shared = set()
-        for name, space in tree.workspaces.items():
-            for key in space.keys:
+        ambiguous_keys = set()
+        for name, workspace_spec in tree.workspaces.items():
+            for key in workspace_spec.keys:
                 if self._workspace_by_key.setdefault(key, name) != name:
-                    shared.add(key)
-        # A key that two workspaces name would let one act as the other.
-        for key in shared:
+                    ambiguous_keys.add(key)
+        # A key that belongs to two workspaces would let one act as the other.
+        for key in ambiguous_keys:
             del self._workspace_by_key[key]
 
     def find(self, host: str, path: str) -> ForwardedRoute | None:
-        """The route with the longest prefix of `path`; a port in `host` is no part of it."""
+        """Return the route with the longest prefix of `path`; ignores a port in `host`."""
         prefixes = self._by_host.get(host.partition(':')[0].lower())
         if not prefixes:
             return None
@@ -50,21 +50,21 @@
         return None
 
     @property
-    def keys_wanted(self) -> bool:
-        """Whether callers must hold a key: there are workspaces."""
+    def requires_key(self) -> bool:
+        """Whether callers need a key, which is so if the tree has workspaces."""
         return bool(self._tree.workspaces)
 
-    def workspace_of(self, key_hash: str) -> str | None:
-        """The workspace that holds a key, given as the settings hold it."""
+    def workspace_for_key(self, key_hash: str) -> str | None:
+        """Return the workspace of a key, given as its hash in the settings."""
         return self._workspace_by_key.get(key_hash)
 
     def policy(self, route: ForwardedRoute, service: str, workspace: str) -> Policy:
-        """The route's policy with every level above it filled in."""
-        where = (f'{route.host}{route.path_prefix}', service, workspace)
-        found = self._policies.get(where)
-        if found is None:
-            found = self._policies[where] = self._merged(route, service, workspace)
-        return found
+        """Return the route's policy, merged with those of all levels above it."""
+        cache_key = (f'{route.host}{route.path_prefix}', service, workspace)
+        policy = self._policies.get(cache_key)
+        if policy is None:
+            policy = self._policies[cache_key] = self._merged(route, service, workspace)
+        return policy
 
     def _merged(self, route: ForwardedRoute, service: str, workspace: str) -> Policy:
         fleet = self._tree.fleet
@@ -76,16 +76,16 @@
         return merge([*levels, route.policy])
 
     def workspace_priority(self, workspace: str) -> int:
-        """The workspace's own priority, which goes before a route's; 0 goes first."""
-        space = self._tree.workspaces.get(workspace)
-        priority = space.policy.priority if space else None
+        """Return the workspace's own priority, which outranks a route's; 0 is the highest."""
+        workspace_spec = self._tree.workspaces.get(workspace)
+        priority = workspace_spec.policy.priority if workspace_spec else None
         return 0 if priority is None else priority
 
 
-def choose_share(shares: list[ServiceShare], request_id: str) -> str | None:
-    """The service that a request goes to, by weight; None if all weigh nothing.
+def choose_service(shares: list[ServiceShare], request_id: str) -> str | None:
+    """Choose a request's service by weight; return None if all weights are 0.
 
-    The same request goes the same way on every box.
+    All boxes choose the same service for the same request.
     """
     total = sum(share.weight for share in shares)
     if total <= 0:
--- a/packages/settings/seamhold_settings/resolve.py
+++ b/packages/settings/seamhold_settings/resolve.py
@@ -1,10 +1,10 @@
-"""From the tree to what one call is treated by: the levels merged."""
+"""Merges the levels of the settings tree into the policy of one route."""
 
 from msgspec import Struct, field
 
 from .schema import FleetSpec, PlatformOutage, Policy, ServiceKind, WorkspaceSpec
 
-#: What holds where no level says anything.
+#: Policy values that apply where no level sets them.
 DEFAULTS = Policy(
     repeatable=True,
     deadline=60.0,
@@ -19,16 +19,16 @@
 
 
 class SettingsObject(Struct, frozen=True):
-    """One part of the tree under the name it is kept by; `spec` is as it was written."""
+    """One part of the tree, stored as `name`; `spec` is as written by the operator."""
 
     name: str
     spec: dict
 
 
 class Tree(Struct, frozen=True):
-    """The whole tree in force: the fleet and its workspaces by name.
+    """A complete settings tree: the fleet and its workspaces by name.
 
-    `objects` are what it was read from; a box in force needs none of them.
+    `objects` are the objects it was read from; boxes need only the parsed specs.
     """
 
     fleet: FleetSpec = field(default_factory=FleetSpec)
@@ -37,7 +37,7 @@
 
 
 class ResolvedRoute(Struct, frozen=True):
-    """One route with every key of its policy filled in."""
+    """One route with its fully merged policy."""
 
     workspace: str
     service: str
@@ -47,25 +47,25 @@
 
 
 def merge(levels: list[Policy]) -> Policy:
-    """Later levels override earlier ones, key by key."""
+    """Merge policies; a key set by a later level overrides earlier levels."""
     values = {}
     for level in levels:
-        written = ((name, getattr(level, name)) for name in Policy.__struct_fields__)
-        values |= {name: value for name, value in written if value is not None}
+        items = ((name, getattr(level, name)) for name in Policy.__struct_fields__)
+        values |= {name: value for name, value in items if value is not None}
     return Policy(**values)
 
 
 def resolve(tree: Tree, workspace: str, service: str, route: str = '') -> ResolvedRoute | None:
-    """The policy of a route, or None if the workspace may not call it.
+    """Return the merged policy of a route, or None if the workspace may not call the service.
 
-    A route is the one whose name is the longest prefix of `route`.
+    The route whose name is the longest prefix of `route` applies.
     """
-    space = tree.workspaces.get(workspace)
+    workspace_spec = tree.workspaces.get(workspace)
     offered = tree.fleet.services.get(service)
-    if space is None or offered is None or service not in space.services:
+    if workspace_spec is None or offered is None or service not in workspace_spec.services:
         return None
-    used = space.services[service]
-    levels = [DEFAULTS, tree.fleet.policy, offered.policy, space.policy, used.policy]
+    used = workspace_spec.services[service]
+    levels = [DEFAULTS, tree.fleet.policy, offered.policy, workspace_spec.policy, used.policy]
     matching = [name for name in used.routes if route.startswith(name)]
     name = max(matching, key=len, default='')
     if name:
@@ -74,7 +74,7 @@
 
 
 def service_of_model(tree: Tree, model: str) -> str | None:
-    """The fleet's service that serves `model`."""
+    """Return the name of the fleet's service that serves `model`, or None."""
     for name, service in tree.fleet.services.items():
         if model in service.models:
             return name
--- a/packages/settings/seamhold_settings/schema.py
+++ b/packages/settings/seamhold_settings/schema.py
@@ -1,11 +1,11 @@
-"""What operators may write, checked by msgspec.
+"""Schema of the settings, validated by msgspec.
 
-Every level carries a `policy`; a key that a level leaves out is inherited
-from the level above.  Unknown keys are refused everywhere.
+Every level has a `policy`; a key that a level omits is inherited from the level
+above.  Unknown keys are errors at every level.
 
-msgspec builds these types in compiled code.  Where a library worked out their
-validators in Python, that was a third of the processor time of a box's start
-(340 of 1,050 ms of imports, best of nine; `python -m measure start` shows it now).
+msgspec validates in compiled code.  A library that builds its validators in Python took
+a third of the CPU time of a box's start (340 of 1,050 ms of imports); `python -m measure
+start` measures it.
 """
 
 from enum import StrEnum
@@ -19,30 +19,30 @@
 
 
 class Strict(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Base of all levels: unknown keys are errors, values never change."""
+    """Base class of all levels: immutable, and unknown keys are errors."""
 
 
 class ServiceKind(StrEnum):
-    """Model services speak the chat protocol; plain ones any HTTP."""
+    """Protocol of a service: model services use the chat protocol, plain ones any HTTP."""
 
     MODEL = 'model'
     PLAIN = 'plain'
 
 
 class PlatformOutage(StrEnum):
-    """What becomes of a keyed, not repeatable call in a platform outage."""
+    """How a non-repeatable call with an idempotency key is handled in a platform outage."""
 
     REFUSE = 'refuse'
     RUN_UNCLAIMED = 'run-unclaimed'
 
 
 class Policy(Strict):
-    """How calls are treated; None means inherited from the level above.
+    """How calls are handled; None means inherited from the level above.
 
-    Times are in seconds, sizes in bytes, `priority` 0 goes first.
-    `objective` is the time to the first byte that counts as in time, `pause`
-    the longest gap inside a stream that does; `resumable` streams may go on
-    from another backend server.
+    Times are in seconds, sizes in bytes; `priority` 0 goes first.
+    `objective` is the target time to the first byte, `pause` the target for the
+    longest gap within a stream; a `resumable` stream may be continued by another
+    backend server.
     """
 
     repeatable: bool | None = None
@@ -59,9 +59,9 @@
 
 
 class Limits(Strict):
-    """Fleet-wide caps on a workspace; None is no cap.
+    """Fleet-wide limits of a workspace; None means no limit.
 
-    In flight: calls and tokens of work at once.  Rate: calls a second.
+    The in-flight limits count concurrent calls and their estimated tokens.
     """
 
     requests_in_flight: Annotated[int, Meta(ge=1)] | None = None
@@ -70,29 +70,29 @@
 
 
 class RouteSpec(Strict):
-    """One route of a service: the last level of the tree."""
+    """One route of a service, the lowest level of the tree."""
 
     policy: Policy = Policy()
 
 
 class ServiceSpec(Strict):
-    """A service as a workspace uses it."""
+    """A workspace's settings for one service."""
 
     policy: Policy = Policy()
     routes: dict[RouteName, RouteSpec] = {}
 
 
 class ServiceShare(Strict):
-    """A service and its part of a route's requests, relative to its siblings."""
+    """A service and its share of a route's requests, relative to the route's other shares."""
 
     service: Name
     weight: Annotated[float, Meta(ge=0, le=1_000_000)] = 1.0
 
 
 class ForwardedRoute(Strict):
-    """Requests that are passed on unchanged, by host and path prefix.
+    """A route that forwards requests unchanged, by host and path prefix.
 
-    `streamed` tells that answers are event streams; a `public` route needs
+    The answers of a `streamed` route are event streams; a `public` route needs
     no key.
     """
 
@@ -105,7 +105,7 @@
 
 
 class CallerBounds(Strict):
-    """What a caller may send, in bytes, and how long it may take, in seconds."""
+    """Limits on a caller's request, in bytes, and on its duration, in seconds."""
 
     head_bytes: Annotated[int, Meta(ge=1024, le=1024 * 1024)] = 16 * 1024
     body_bytes: Annotated[int, Meta(ge=1, le=64 * 1024 * 1024)] = 4 * 1024 * 1024
@@ -116,10 +116,10 @@
 class FleetService(Strict):
     """A service that the fleet offers; `models` are the names callers use.
 
-    A backend server of it takes `connections` from all boxes together.  With
-    `keeps_prompts` it keeps what it has read of a prompt, and tells what that is.
-    For `cold_seconds` after a start it bears `cold_requests_per_second` from all boxes
-    together, 0 if it bears no fewer than later.
+    A backend server of the service accepts `connections` from all boxes together.  With
+    `keeps_prompts` it caches processed prompts and reports which ones.  For `cold_seconds`
+    after a start it can serve `cold_requests_per_second` from all boxes together; 0 means
+    that its capacity is not reduced.
     """
 
     kind: ServiceKind
@@ -132,19 +132,19 @@
 
     def __post_init__(self):
         if self.kind is ServiceKind.MODEL and not self.models:
-            raise ValueError('a model service names at least one model')
+            raise ValueError('a model service needs at least one model')
         if self.kind is ServiceKind.PLAIN and self.models:
-            raise ValueError('a plain service has no models')
+            raise ValueError('a plain service cannot have models')
 
 
 class Placement(Strict):
-    """The load bound and how engines come and go.
+    """The load bound, and how engines enter and leave use.
 
-    `load_multiple` is promised, `admit_multiple` is what admission holds to, or
-    `admit_share` of the promise where that is given.  `patience` is how long a call
-    waits for the engine that holds its cache before it goes to another.  Of a service's
-    engines that live no more than `max_ejection_share` is out of use because calls fail
-    there, but one always may be.  Times are in seconds.
+    `load_multiple` is the guaranteed bound as a multiple of the mean load; admission uses
+    `admit_multiple`, or `admit_share * load_multiple` if `admit_share` is given.
+    `patience` is how long a call waits for the engine that holds its cache before it goes
+    to another.  At most `max_ejection_share` of a service's live engines, but always
+    at least one, may be out of use because of failed calls.  Times are in seconds.
     """
 
     load_multiple: Annotated[float, Meta(ge=1.05, le=10)] = 1.5
@@ -164,21 +164,21 @@
 
     @property
     def admitted_multiple(self) -> float:
-        """The multiple of the mean that admission holds to."""
+        """The multiple of the mean load that admission enforces."""
         if self.admit_share is None:
             return self.admit_multiple
         return self.admit_share * self.load_multiple
 
 
 class Control(Strict):
-    """What a box may spend on control traffic, and how often it speaks.
+    """Control traffic of a box, retry budgets, tickets and claims.
 
-    Each `digest_seconds` it tells `digest_peers` of its peers, in turn, and these pass
-    on what is news.  Where engines tell nothing of their load, a peer that is told less
-    often knows less of it.
+    Every `digest_seconds` a box sends a digest to `digest_peers` of its peers, in turn,
+    and these pass new updates on.  If engines do not report their load, a peer that
+    receives digests less often has a less accurate view of the load.
 
     A service's retries within any `retry_window_seconds`, over all boxes, stay
-    below `retry_budget_ratio` of its calls and `retry_reserve` more.
+    below `retry_budget_ratio` of its calls plus `retry_reserve`.
     """
 
     control_bytes_per_second: Annotated[int, Meta(ge=256, le=8192)] = 2048
@@ -193,7 +193,7 @@
 
 
 class FleetSpec(Strict):
-    """The top level: what all workspaces inherit."""
+    """The top level of the tree, inherited by all workspaces."""
 
     policy: Policy = Policy()
     placement: Placement = Placement()
@@ -203,12 +203,12 @@
     caller_bounds: CallerBounds = CallerBounds()
 
     def __post_init__(self):
-        seen: dict[str, str] = {}
+        owners: dict[str, str] = {}
         for name, service in self.services.items():
             for model in service.models:
-                if model in seen:
-                    raise ValueError(f'model {model!r} is in both {seen[model]!r} and {name!r}')
-                seen[model] = name
+                if model in owners:
+                    raise ValueError(f'model {model!r} is in both {owners[model]!r} and {name!r}')
+                owners[model] = name
 
 
 class WorkspaceSpec(Strict):
--- a/packages/settings/seamhold_settings/tree.py
+++ b/packages/settings/seamhold_settings/tree.py
@@ -1,8 +1,7 @@
-"""The operators' YAML file, and the objects it is kept as.
+"""The operators' YAML file and the platform objects that it is stored as.
 
-The fleet and each workspace are an object of their own, so that each stays
-far below the platform's megabyte and two operators who edit two workspaces
-do not meet.
+The fleet and each workspace are separate objects, so that each stays far below
+the platform's limit of one megabyte and edits of different workspaces do not conflict.
 """
 
 from collections.abc import Iterable
@@ -17,20 +16,20 @@
 from .schema import FleetSpec, ForwardedRoute, Strict, WorkspaceSpec
 
 FLEET_OBJECT = 'fleet'
-#: A whole tree kept as one object, where operators write it as one.
+#: A complete tree stored as one object, used where operators write it as one.
 TREE_OBJECT = 'tree'
 WORKSPACE_PREFIX = 'workspace.'
 
 
 class SettingsFile(Strict):
-    """The file an operator applies."""
+    """A settings file as applied by an operator."""
 
     fleet: FleetSpec = FleetSpec()
     workspaces: dict[str, WorkspaceSpec] = field(default_factory=dict)
 
 
 def parse_yaml(text: str) -> object:
-    """YAML to plain values, or SettingsInvalid with the line."""
+    """Parse YAML to plain values; raises SettingsInvalid that names the line."""
     try:
         return yaml.safe_load(text) or {}
     except yaml.YAMLError as error:
@@ -38,88 +37,90 @@
 
 
 def check_references(tree: Tree) -> None:
-    """Refuse a workspace that uses a service the fleet does not offer."""
-    for name, space in tree.workspaces.items():
-        for service in space.services:
+    """Raise SettingsInvalid for an unknown service or a key that two workspaces share."""
+    for name, workspace_spec in tree.workspaces.items():
+        for service in workspace_spec.services:
             if service not in tree.fleet.services:
                 path = f'workspaces.{name}.services.{service}'
                 raise SettingsInvalid(f'{path}: the fleet offers no service of this name')
     owners: dict[str, str] = {}
-    for name, space in tree.workspaces.items():
-        for key in space.keys:
+    for name, workspace_spec in tree.workspaces.items():
+        for key in workspace_spec.keys:
             if owners.setdefault(key, name) != name:
                 path = f'workspaces.{name}.keys'
-                raise SettingsInvalid(f'{path}: a key of workspace {owners[key]!r}')
+                raise SettingsInvalid(f'{path}: a key also belongs to workspace {owners[key]!r}')
 
 
 def load_tree(text: str) -> Tree:
-    """Read and check a whole file."""
+    """Parse and validate a settings file, including references between its objects."""
     tree = read_tree(parse_yaml(text))
     check_references(tree)
     return tree
 
 
 def read_tree(values: dict) -> Tree:
-    """The tree that a file's values make up; raises SettingsInvalid."""
-    found = check(SettingsFile, values)
-    return Tree(found.fleet, dict(found.workspaces), split(values))
+    """Build the tree of a file's values; raises SettingsInvalid."""
+    settings_file = check(SettingsFile, values)
+    return Tree(settings_file.fleet, dict(settings_file.workspaces), split_into_objects(values))
 
 
-def split(values: dict) -> tuple[SettingsObject, ...]:
-    """The objects that together hold the values of a checked file, the fleet first.
+def split_into_objects(values: dict) -> tuple[SettingsObject, ...]:
+    """Split the values of a validated file into objects, the fleet first.
 
-    They are as they were written: what is left out stays inherited.
+    Values stay as written: omitted keys are not filled in and remain inherited.
     """
-    spaces = values.get('workspaces', {})
+    workspaces = values.get('workspaces', {})
     objects = [SettingsObject(FLEET_OBJECT, values.get('fleet', {}))]
-    objects += [SettingsObject(WORKSPACE_PREFIX + name, spaces[name]) for name in sorted(spaces)]
+    objects += [
+        SettingsObject(WORKSPACE_PREFIX + name, workspaces[name]) for name in sorted(workspaces)
+    ]
     return tuple(objects)
 
 
-def without_unsound_routes(values: dict) -> tuple[dict, list[str]]:
-    """A tree's values without the forwarded routes that break the schema.
+def without_invalid_routes(values: dict) -> tuple[dict, list[str]]:
+    """Return a tree's values without invalid forwarded routes, and one problem for each.
 
-    One route that cannot be read must not keep the others from coming into
-    force; the second part says what was left out and why.
+    One invalid route must not prevent the others from becoming active; a problem
+    names the route that was left out and the error.
     """
     fleet = dict(values.get('fleet') or {})
-    sound, problems = [], []
+    valid_routes, problems = [], []
     for number, route in enumerate(fleet.get('forwarding') or []):
         try:
             check(ForwardedRoute, route)
         except SettingsInvalid as error:
             problems.append(f'fleet.forwarding.{number}: {error.detail}')
         else:
-            sound.append(route)
-    fleet['forwarding'] = sound
+            valid_routes.append(route)
+    fleet['forwarding'] = valid_routes
     return values | {'fleet': fleet}, problems
 
 
 def check_object(name: str, spec: object) -> FleetSpec | WorkspaceSpec | SettingsFile:
-    """Read one object's spec by the kind that its name tells."""
+    """Validate an object's spec as the type given by its name; raises SettingsInvalid."""
     if name == TREE_OBJECT:
         return check(SettingsFile, spec)
     if name == FLEET_OBJECT:
         return check(FleetSpec, spec)
     if name.startswith(WORKSPACE_PREFIX):
         return check(WorkspaceSpec, spec)
-    raise SettingsInvalid(f'{name}: neither {FLEET_OBJECT!r} nor {WORKSPACE_PREFIX}NAME')
+    raise SettingsInvalid(f'{name}: name is neither {FLEET_OBJECT!r} nor {WORKSPACE_PREFIX}NAME')
 
 
-def join(
+def build_tree(
     specs: dict[str, FleetSpec | WorkspaceSpec | SettingsFile],
     objects: Iterable[SettingsObject] = (),
 ) -> Tree:
-    """The tree that checked objects make up; a whole one stands for all.
+    """Build the tree of validated specs; a spec of a complete tree replaces all others.
 
-    `objects` are what it was read from, for those who write it again.
+    `objects` are the objects it was read from, for callers that write it back.
     """
-    whole = specs.get(TREE_OBJECT)
-    if isinstance(whole, SettingsFile):
-        return Tree(whole.fleet, dict(whole.workspaces))
-    spaces = {
+    complete = specs.get(TREE_OBJECT)
+    if isinstance(complete, SettingsFile):
+        return Tree(complete.fleet, dict(complete.workspaces))
+    workspaces = {
         name.removeprefix(WORKSPACE_PREFIX): spec
         for name, spec in specs.items()
         if name.startswith(WORKSPACE_PREFIX)
     }
-    return Tree(specs.get(FLEET_OBJECT, FleetSpec()), spaces, tuple(objects))
+    return Tree(specs.get(FLEET_OBJECT, FleetSpec()), workspaces, tuple(objects))
--- a/packages/settings/seamhold_settings/versions.py
+++ b/packages/settings/seamhold_settings/versions.py
@@ -1,8 +1,8 @@
-"""Which version of each settings object is in force: only ever forward.
+"""The active version of each settings object, which only moves forward.
 
-An object carries a `revision` that each accepted write raises by one, inside
-its value.  The platform's own version is not used for order: it goes back
-when the platform is restored from an older copy, and revisions must not.
+An object has a `revision`, stored with its value, that each accepted write raises by
+one.  The platform's own version does not define the order: it goes back when the
+platform is restored from an older copy, and revisions must not.
 """
 
 from enum import StrEnum
@@ -14,14 +14,14 @@
 
 from .resolve import Tree
 from .schema import FleetSpec, WorkspaceSpec
-from .tree import FLEET_OBJECT, TREE_OBJECT, SettingsFile, check_object, join
+from .tree import FLEET_OBJECT, TREE_OBJECT, SettingsFile, build_tree, check_object
 
 
 class Candidate(Struct, frozen=True):
-    """A version of one object, as the platform or a peer told it.
+    """A version of one object, received from the platform or a peer.
 
-    `deleted` marks an object that operators removed at that revision;
-    `ancestors` are the ids of the edits before this one, the latest last.
+    `deleted` marks an object that operators deleted at that revision;
+    `ancestors` are the ids of the preceding edits, the latest last.
     """
 
     name: str
@@ -32,8 +32,8 @@
     ancestors: tuple[str, ...] = ()
 
 
-class Step(StrEnum):
-    """What became of a candidate."""
+class OfferResult(StrEnum):
+    """Result of offering a candidate."""
 
     TAKEN = 'taken'
     SAME = 'same'
@@ -42,12 +42,12 @@
     INVALID = 'invalid'
 
 
-class InForce(Struct):
-    """The objects in force on one box.
+class ActiveSettings(Struct):
+    """The active settings objects of one box.
 
-    `offer` is the only way in.  An invalid candidate never comes into force:
-    the last good one stays, and `rejected` says why.  Each object is checked
-    on its own, so that the order in which news arrives changes nothing;
+    `offer` is the only way to change them.  An invalid candidate never becomes active:
+    the last valid version stays, and `rejected` holds the error.  Each object is
+    validated on its own, so that the order in which updates arrive does not matter;
     references between objects are checked before operators may write.
     """
 
@@ -56,55 +56,57 @@
     tree: Tree = field(default_factory=Tree)
     _specs: dict[str, FleetSpec | WorkspaceSpec | SettingsFile] = field(default_factory=dict)
 
-    def offer(self, candidate: Candidate) -> Step:
-        """Step to `candidate` if it is newer and valid."""
+    def offer(self, candidate: Candidate) -> OfferResult:
+        """Activate `candidate` if it is newer and valid."""
         held = self.objects.get(candidate.name)
         if held and candidate.revision <= held.revision:
-            return self._not_newer(candidate, held)
+            return self._classify_old(candidate, held)
         try:
-            self._take(candidate)
+            self._activate(candidate)
         except SettingsInvalid as error:
             self.rejected[candidate.name] = error.detail
-            return Step.INVALID
+            return OfferResult.INVALID
         self.objects[candidate.name] = candidate
         self.rejected.pop(candidate.name, None)
-        return Step.TAKEN
+        return OfferResult.TAKEN
 
     @staticmethod
-    def _not_newer(candidate: Candidate, held: Candidate) -> Step:
-        """An edit in force, one it came after, or one made beside it.
+    def _classify_old(candidate: Candidate, held: Candidate) -> OfferResult:
+        """Return whether the candidate is the active edit, an ancestor of it or a branch.
 
-        The last happens when the platform went back to an older copy and an
-        operator edited that: the edit was accepted, and has yet to be
-        written again on top of what is in force.
+        A branch occurs when the platform was restored from an older copy and an
+        operator edited that copy: the edit was accepted, and has yet to be
+        reapplied on top of the active version.
         """
         if candidate.edit_id == held.edit_id:
-            return Step.SAME
-        return Step.OLDER if candidate.edit_id in held.ancestors else Step.BRANCH
+            return OfferResult.SAME
+        return OfferResult.OLDER if candidate.edit_id in held.ancestors else OfferResult.BRANCH
 
-    def _take(self, candidate: Candidate) -> None:
+    def _activate(self, candidate: Candidate) -> None:
         specs = dict(self._specs)
         if candidate.deleted:
             specs.pop(candidate.name, None)
         else:
             specs[candidate.name] = check_object(candidate.name, candidate.spec)
         self._specs = specs
-        self.tree = join(specs)
+        self.tree = build_tree(specs)
 
-    def known(self) -> dict[str, int]:
-        """Revision by object name: what a pull from a peer carries."""
+    def revisions(self) -> dict[str, int]:
+        """Return the revision of each object by name, as sent in a pull from a peer."""
         return {name: held.revision for name, held in self.objects.items()}
 
-    def newer_than(self, known: dict[str, int]) -> list[Candidate]:
-        """Objects in force here that are ahead of `known`."""
-        return [held for name, held in self.objects.items() if held.revision > known.get(name, 0)]
+    def newer_than(self, revisions: dict[str, int]) -> list[Candidate]:
+        """Return the active objects that are newer than in `revisions`."""
+        return [
+            held for name, held in self.objects.items() if held.revision > revisions.get(name, 0)
+        ]
 
-    def total(self) -> int:
-        """Sum of all revisions: grows with every step, never shrinks."""
+    def revision_sum(self) -> int:
+        """Return the sum of all revisions, which grows with each activation and never shrinks."""
         return sum(held.revision for held in self.objects.values())
 
     def fingerprint(self) -> int:
-        """64 bits that agree on two boxes with the same versions in force."""
+        """Return a 64-bit hash that is equal on boxes with the same active versions."""
         text = ','.join(
             f'{name}:{held.revision}:{held.edit_id}' for name, held in sorted(self.objects.items())
         )
@@ -112,5 +114,5 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the box may serve: it has the fleet's object or a whole tree."""
+        """Whether the box may serve: it has the fleet's object or a complete tree."""
         return FLEET_OBJECT in self.objects or TREE_OBJECT in self.objects
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -1,4 +1,4 @@
-"""A stock client of the chat completions API works unchanged."""
+"""The unmodified OpenAI client works against the chat completions API."""
 
 import openai
 import testtools
@@ -19,7 +19,7 @@
     def test_models(self):
         self.assertEqual([MODEL], [model.id for model in self.client.models.list()])
 
-    def test_whole_answer(self):
+    def test_answer_that_is_not_streamed(self):
         answer = self.client.chat.completions.create(
             model=MODEL, messages=[{'role': 'user', 'content': 'hi'}], max_tokens=4
         )
@@ -29,17 +29,17 @@
         stream = self.client.chat.completions.create(
             model=MODEL, messages=[{'role': 'user', 'content': 'hi'}], max_tokens=4, stream=True
         )
-        words = [chunk.choices[0].delta.content or '' for chunk in stream]
-        self.assertEqual(4, len(''.join(words).split()))
+        chunks = [chunk.choices[0].delta.content or '' for chunk in stream]
+        self.assertEqual(4, len(''.join(chunks).split()))
 
-    def test_a_stream_that_breaks_raises(self):
+    def test_a_broken_stream_raises(self):
         self.stack.engine.set_faults({'die_after_tokens': 2})
         stream = self.client.chat.completions.create(
             model=MODEL, messages=[{'role': 'user', 'content': 'hi'}], stream=True
         )
         self.assertRaises(openai.APIError, list, stream)
 
-    def test_refusals_carry_their_code(self):
+    def test_an_error_has_its_code(self):
         error = self.assertRaises(
             openai.NotFoundError,
             self.client.chat.completions.create,
@@ -48,7 +48,7 @@
         )
         self.assertEqual('unknown_model', error.code)
 
-    def test_a_wrong_key(self):
+    def test_a_wrong_key_is_unauthorized(self):
         wrong = openai.OpenAI(api_key='wrong', base_url=f'{self.stack.url}/v1', max_retries=0)
         self.addCleanup(wrong.close)
         self.assertRaises(openai.AuthenticationError, wrong.models.list)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The tree: schema, inheritance, versions, and how operators change it."""
+"""The settings tree: schema, inheritance, versions, and operators' edits."""
 
 import io
 import random
@@ -17,7 +17,7 @@
 from seamhold_messages.errors import SettingsConflict, SettingsInvalid
 from seamhold_platform import ObjectKind, PlatformClient, PlatformObject
 from seamhold_routing.plans import plan_for
-from seamhold_settings import Candidate, InForce, Step, load_tree, resolve
+from seamhold_settings import ActiveSettings, Candidate, OfferResult, load_tree, resolve
 from seamhold_settings.envelope import Edit
 from standins.platform import Platform
 
@@ -41,7 +41,7 @@
 
 
 class TestTree(testtools.TestCase):
-    def test_each_level_inherits_and_may_override(self):
+    def test_each_level_inherits_and_can_override(self):
         tree = load_tree(TREE)
         plain = resolve(tree, 'kitchen', 'chat').policy
         self.assertEqual(
@@ -53,7 +53,7 @@
         self.assertIsNone(resolve(tree, 'kitchen', 'other'))
         self.assertIsNone(resolve(tree, 'garden', 'chat'))
 
-    def test_what_is_wrong_is_named_by_path(self):
+    def test_errors_name_the_path(self):
         cases = {
             'fleet: {polcy: {}}': 'fleet.polcy',
             'fleet: {policy: {deadline: -1}}': 'fleet.policy.deadline',
@@ -69,18 +69,18 @@
             error = self.assertRaises(SettingsInvalid, load_tree, text)
             self.assertIn(path, error.detail)
 
-    def test_admission_may_be_a_share_of_whatever_is_promised(self):
-        for promised in (1.2, 2.0):
-            text = f'fleet: {{placement: {{load_multiple: {promised}, admit_share: 0.85}}}}'
+    def test_admission_can_be_a_share_of_the_guaranteed_multiple(self):
+        for guaranteed in (1.2, 2.0):
+            text = f'fleet: {{placement: {{load_multiple: {guaranteed}, admit_share: 0.85}}}}'
             placement = load_tree(text).fleet.placement
-            self.assertAlmostEqual(0.85 * promised, placement.admitted_multiple)
+            self.assertAlmostEqual(0.85 * guaranteed, placement.admitted_multiple)
             self.assertAlmostEqual(
-                0.85 * promised, plan_for(load_tree(text), 's').bound.admit_multiple
+                0.85 * guaranteed, plan_for(load_tree(text), 's').bound.admit_multiple
             )
         text = 'fleet: {placement: {load_multiple: 1.2, admit_share: 1.1}}'
         self.assertRaises(SettingsInvalid, load_tree, text)
 
-    def test_a_key_names_one_workspace(self):
+    def test_a_key_belongs_to_one_workspace(self):
         key = 'sha256:' + '0' * 64
         text = f'workspaces: {{a: {{keys: ["{key}"]}}, b: {{keys: ["{key}"]}}}}'
         self.assertRaises(SettingsInvalid, load_tree, text)
@@ -94,38 +94,40 @@
     ]
 
 
-class TestInForce(testtools.TestCase):
+class TestActiveSettings(testtools.TestCase):
     @given(st.permutations(versions(6)), st.permutations(versions(6)))
-    def test_any_order_of_news_ends_alike_and_never_goes_back(self, first, second):
-        ends = []
+    def test_updates_in_any_order_converge_and_never_go_back(self, first, second):
+        fingerprints = []
         for order in (first, second):
-            state = InForce()
+            state = ActiveSettings()
             last = 0
             for candidate in order:
                 state.offer(candidate)
-                self.assertGreaterEqual(state.known()['fleet'], last)
-                last = state.known()['fleet']
-            ends.append(state.fingerprint())
-        self.assertEqual(ends[0], ends[1])
+                self.assertGreaterEqual(state.revisions()['fleet'], last)
+                last = state.revisions()['fleet']
+            fingerprints.append(state.fingerprint())
+        self.assertEqual(fingerprints[0], fingerprints[1])
 
-    def test_an_invalid_version_leaves_the_last_good_one(self):
-        state = InForce()
+    def test_an_invalid_version_keeps_the_last_valid_one_active(self):
+        state = ActiveSettings()
         state.offer(Candidate('fleet', 1, 'a', {'policy': {'deadline': 9}}))
-        self.assertIs(Step.INVALID, state.offer(Candidate('fleet', 2, 'b', {'nope': 1})))
+        self.assertIs(OfferResult.INVALID, state.offer(Candidate('fleet', 2, 'b', {'nope': 1})))
         self.assertEqual(9, state.tree.fleet.policy.deadline)
         self.assertIn('nope', state.rejected['fleet'])
-        self.assertIs(Step.TAKEN, state.offer(Candidate('fleet', 3, 'c', {})))
+        self.assertIs(OfferResult.TAKEN, state.offer(Candidate('fleet', 3, 'c', {})))
         self.assertEqual({}, state.rejected)
 
-    def test_an_edit_beside_what_is_in_force_is_a_branch(self):
-        state = InForce()
+    def test_an_edit_that_is_no_ancestor_of_the_active_one_is_a_branch(self):
+        state = ActiveSettings()
         state.offer(Candidate('fleet', 3, 'c', {}, False, ('a', 'b')))
-        self.assertIs(Step.OLDER, state.offer(Candidate('fleet', 2, 'b', {}, False, ('a',))))
-        self.assertIs(Step.BRANCH, state.offer(Candidate('fleet', 2, 'x', {}, False, ('a',))))
+        self.assertIs(OfferResult.OLDER, state.offer(Candidate('fleet', 2, 'b', {}, False, ('a',))))
+        self.assertIs(
+            OfferResult.BRANCH, state.offer(Candidate('fleet', 2, 'x', {}, False, ('a',)))
+        )
 
 
-class TestMending(testtools.TestCase):
-    def test_a_box_that_has_it_from_a_peer_mends_the_platform(self):
+class TestRepair(testtools.TestCase):
+    def test_a_newer_version_from_a_peer_is_written_back_to_the_platform(self):
         server = Platform().start()
         self.addCleanup(server.stop)
         platform = PlatformClient(f'http://127.0.0.1:{server.port}')
@@ -134,7 +136,7 @@
         older = platform.get(ObjectKind.SETTINGS, 'fleet')
         first = editor.read()['fleet'].envelope
         edit = Edit('newer', 0.0, 'cook')
-        newer = first.followed_by(edit, first.value | {'policy': {'deadline': 12}})
+        newer = first.next_version(edit, first.value | {'policy': {'deadline': 12}})
         keeper = SettingsKeeper(Metrics(), lambda tree: None)
         keeper.start()
         self.addCleanup(keeper.stop)
@@ -143,10 +145,10 @@
             platform, Metrics(), random.Random(1), keeper, 'box-1', lambda: ('box-1',)
         )
         follower.listed([older])
-        mended = editor.read()['fleet'].envelope
+        repaired = editor.read()['fleet'].envelope
         self.assertEqual(
             (2, 'newer', 12),
-            (mended.revision, mended.edits[-1].id, mended.value['policy']['deadline']),
+            (repaired.revision, repaired.edits[-1].id, repaired.value['policy']['deadline']),
         )
 
 
@@ -175,7 +177,7 @@
         self.assertEqual('3', self.run_command('get', 'workspaces.kitchen.weight')[1].strip())
         self.assertEqual(2, len(self.run_command('history', 'workspace.kitchen')[1].splitlines()))
 
-    def test_a_wrong_value_is_refused_before_it_is_written(self):
+    def test_an_invalid_value_is_rejected_before_it_is_written(self):
         cases = (
             ('fleet.policy.deadline', 'never'),
             ('fleet.nope', '1'),
@@ -188,15 +190,15 @@
             self.assertIn('settings_invalid', error)
         self.assertEqual(1, self.editor.read()['fleet'].envelope.revision)
 
-    def test_a_conflict_shows_what_differs(self):
-        class Late(SettingsEditor):
+    def test_a_conflict_shows_the_difference(self):
+        class LateEditor(SettingsEditor):
             def read(self):
                 stored = super().read()
                 other.set('fleet.policy.deadline', 44)
                 return stored
 
         other = self.editor
-        late = Late(self.platform, Environment(), 'officer')
+        late = LateEditor(self.platform, Environment(), 'officer')
         error = self.assertRaises(SettingsConflict, late.set, 'fleet.policy.deadline', 55)
         self.assertIn('cook changed it first', error.detail)
         self.assertIn('44', error.detail)
@@ -205,12 +207,12 @@
         tree = load_tree(TREE.partition('workspaces:')[0])
         self.editor.apply(tree, prune=True)
         self.assertEqual({}, self.editor.read_tree().workspaces)
-        state = InForce()
+        state = ActiveSettings()
         for held in self.editor.read().values():
             state.offer(held.envelope.candidate())
         self.assertEqual({}, state.tree.workspaces)
 
-    def test_commands_leave_with_the_kind_of_their_end(self):
+    def test_exit_statuses_of_commands(self):
         self.assertEqual(ExitStatus.INVALID, self.run_command('check', 'no-such-file')[0])
         self.assertEqual(ExitStatus.INVALID, self.run_command('get', 'fleet.nope')[0])
         self.server.set_faults({'down': True})
@@ -219,7 +221,7 @@
         self.assertEqual(ExitStatus.USAGE, run(environment, ['settings', 'get']))
         self.assertIn('--platform', environment.stderr.getvalue())
 
-    def test_an_object_that_is_no_settings_object(self):
+    def test_an_object_that_is_not_a_settings_object(self):
         self.platform.put(ObjectKind.SETTINGS, PlatformObject('workspace.x', {'nope': 1}))
         status, _, error = self.run_command('get')
         self.assertEqual(ExitStatus.INVALID, status)
