--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -301,13 +301,13 @@
     def may_risk(self, now: float = 0.0) -> bool:
         """Return whether a suspect may run that, by peers' reports, ended the first two engines."""
         known = after(*(report(hash64(engine.name)) for engine in self.engines[:2]))
-        return self.router.may_risk('llm', known.recently_ended(ASKED.digest, now), now)
+        return self.router.may_risk_engine('llm', known.recently_ended(ASKED.digest, now), now)
 
     def test_no_engine_is_risked_while_half_are_away(self):
-        self.assertTrue(self.router.may_risk('llm', frozenset(), 0.0))
+        self.assertTrue(self.router.may_risk_engine('llm', frozenset(), 0.0))
         for engine in self.engines[:2]:
             self.ended(engine)
-        self.assertFalse(self.router.may_risk('llm', frozenset(), 0.0))
+        self.assertFalse(self.router.may_risk_engine('llm', frozenset(), 0.0))
 
     def test_engines_that_ended_at_other_boxes_are_away_too(self):
         # A service of three lost all its servers: two ended under a request at one box, and
--- a/tests/utils/delayed_fleet.py
+++ b/tests/utils/delayed_fleet.py
@@ -22,13 +22,13 @@
 from seamhold_routing import Versions
 from seamhold_settings.schema import Control
 
-from .telling_fleet import (
+from .gossip_fleet import (
     DIGEST_SECONDS,
-    LOOK_SECONDS,
-    PROMISED_MORE,
-    PROMISED_MULTIPLE,
+    GUARANTEED_EXTRA,
+    GUARANTEED_MULTIPLE,
     SERVICE,
-    TellingBox,
+    TICK_SECONDS,
+    GossipBox,
 )
 
 DEADLINE_SECONDS = 10.0
@@ -97,7 +97,7 @@
     @property
     def above(self) -> bool:
         """Return whether the engine exceeded the guaranteed bound."""
-        return self.held > PROMISED_MULTIPLE * self.mean + PROMISED_MORE
+        return self.held > GUARANTEED_MULTIPLE * self.mean + GUARANTEED_EXTRA
 
 
 class DelayedFleet:
@@ -124,7 +124,7 @@
             for number in range(engines)
         ]
         self.boxes = {
-            box.name: TellingBox(box.name, listed, self.engines, control) for box in listed
+            box.name: GossipBox(box.name, listed, self.engines, control) for box in listed
         }
         self.delays = delays
         self.traffic = traffic
@@ -146,7 +146,7 @@
         self._calls: dict[str, Call] = {}
         for box in self.boxes.values():
             self._every(DIGEST_SECONDS, self._send_digests, box)
-            self._every(LOOK_SECONDS, self._tick, box)
+            self._every(TICK_SECONDS, self._tick, box)
             self._every(QUEUE_SECONDS, self._check_waiting, box)
         self._at(self._rng.uniform(0, 0.1), self._send_burst)
 
@@ -231,7 +231,7 @@
     def _after(self, mean_delay: float, action: Callable, *args) -> None:
         self._at(self.now + mean_delay * self._rng.uniform(0.5, 1.5), action, *args)
 
-    def _every(self, seconds: float, action: Callable, box: TellingBox) -> None:
+    def _every(self, seconds: float, action: Callable, box: GossipBox) -> None:
         def repeat():
             action(box)
             self._at(self.now + seconds, repeat)
@@ -247,7 +247,7 @@
         pause = self._rng.expovariate(self.traffic.calls_per_second / self.traffic.burst)
         self._at(self.now + pause, self._send_burst)
 
-    def _call(self, box: TellingBox) -> None:
+    def _call(self, box: GossipBox) -> None:
         hot = self._rng.random() < self.traffic.hot_share
         chat = 'hot' if hot else self._rng.randrange(self.traffic.chats)
         call_id = f'call-{next(self._ids)}'
@@ -256,7 +256,7 @@
         self._calls[call_id] = call
         self._handle_decisions(box, box.router.admit(call, self.now))
 
-    def _handle_decisions(self, box: TellingBox, decisions: list[Decision]) -> None:
+    def _handle_decisions(self, box: GossipBox, decisions: list[Decision]) -> None:
         for decision in decisions:
             if isinstance(decision, Placed):
                 self._after(self.delays.arrival, self._arrive, box, decision, self.now)
@@ -266,7 +266,7 @@
 
     # Engines.
 
-    def _arrive(self, box: TellingBox, placed: Placed, sent_at: float) -> None:
+    def _arrive(self, box: GossipBox, placed: Placed, sent_at: float) -> None:
         self._change_held(placed.engine, 1)
         held = self._held[placed.engine]
         self.arrivals.append(
@@ -276,27 +276,27 @@
         self._at(self.now + min(ANSWER_SECONDS, duration), self._start_answer, box, placed, sent_at)
         self._at(self.now + duration, self._end, box, placed)
 
-    def _start_answer(self, box: TellingBox, placed: Placed, sent_at: float) -> None:
+    def _start_answer(self, box: GossipBox, placed: Placed, sent_at: float) -> None:
         if self._deferred(placed.engine, self._start_answer, box, placed, sent_at):
             return
         load = self._reported_load(placed.engine)
         self._after(self.delays.head, self._receive_head, box, placed, load, sent_at)
 
-    def _receive_head(self, box: TellingBox, placed: Placed, load: int, sent_at: float) -> None:
-        box.router.began(placed.call_id, self.now)
+    def _receive_head(self, box: GossipBox, placed: Placed, load: int, sent_at: float) -> None:
+        box.router.answer_started(placed.call_id, self.now)
         if self._reports_load:
-            box.router.engine_told(placed.engine, load, sent_at, self.now)
+            box.router.record_engine_load(placed.engine, load, sent_at, self.now)
 
-    def _end(self, box: TellingBox, placed: Placed) -> None:
+    def _end(self, box: GossipBox, placed: Placed) -> None:
         if self._deferred(placed.engine, self._end, box, placed):
             return
         self._change_held(placed.engine, -1)
         self._after(self.delays.end, self._notice_end, box, placed)
 
-    def _notice_end(self, box: TellingBox, placed: Placed) -> None:
+    def _notice_end(self, box: GossipBox, placed: Placed) -> None:
         self._calls.pop(placed.call_id, None)
         router = box.router
-        decisions = router.attempted(placed.call_id, Outcome.DONE, self.now)
+        decisions = router.attempt_ended(placed.call_id, Outcome.DONE, self.now)
         self._handle_decisions(box, decisions + router.close(placed.call_id, self.now))
 
     def _change_held(self, engine: str, change: int) -> None:
@@ -316,14 +316,14 @@
 
     # Boxes.
 
-    def _tick(self, box: TellingBox) -> None:
+    def _tick(self, box: GossipBox) -> None:
         self._handle_decisions(box, box.router.tick(self.now))
 
-    def _check_waiting(self, box: TellingBox) -> None:
+    def _check_waiting(self, box: GossipBox) -> None:
         if box.router.next_due(self.now) <= self.now:
             self._handle_decisions(box, box.router.tick(self.now))
 
-    def _send_digests(self, box: TellingBox) -> None:
+    def _send_digests(self, box: GossipBox) -> None:
         names = [name for name in box.order.of(self.boxes) if name != box.router.box]
         names = names[: box.router.tree.fleet.control.digest_peers]
         digests = box.router.digests_for(names, Versions(), self.now)
@@ -336,7 +336,7 @@
                 self._after(self.delays.digest, self._deliver, self.boxes[name], encoded)
         box.router.digests_sent(sent)
 
-    def _deliver(self, box: TellingBox, encoded: EncodedDigest) -> None:
+    def _deliver(self, box: GossipBox, encoded: EncodedDigest) -> None:
         digest = box.reader.read(encoded.data)
         if digest is not None:
-            self._handle_decisions(box, box.router.hear(digest, self.now))
+            self._handle_decisions(box, box.router.receive_digest(digest, self.now))
