--- a/packages/router/seamhold/claims.py
+++ b/packages/router/seamhold/claims.py
@@ -12,7 +12,7 @@
     PlatformNotFound,
     PlatformUnavailable,
 )
-from seamhold_peers import ClaimAsk
+from seamhold_peers import ClaimRequest
 from seamhold_platform import ObjectKind, PlatformClient, PlatformObject
 from seamhold_settings.schema import Control
 
@@ -30,7 +30,7 @@
 class AcquireClaim(Query):
     """Requests the ownership of a key for a call; the reply is a ClaimState."""
 
-    request: ClaimAsk
+    request: ClaimRequest
     expires: float = 0.0
 
 
@@ -160,7 +160,7 @@
             return states
 
     @staticmethod
-    def _claim(request: ClaimAsk, now: float) -> Claim:
+    def _claim(request: ClaimRequest, now: float) -> Claim:
         return Claim(request.key, request.owner, request.body_hash, now)
 
     @staticmethod
--- a/packages/router/seamhold/guards.py
+++ b/packages/router/seamhold/guards.py
@@ -17,7 +17,7 @@
     KeyInUse,
     KeyMismatch,
 )
-from seamhold_peers import ClaimAsk
+from seamhold_peers import ClaimRequest
 
 from .claims import ClaimWriter, ReleaseClaim
 from .metrics import Metrics
@@ -81,8 +81,8 @@
 
     def __init__(
         self,
-        request: ClaimAsk,
-        claim: Callable[[ClaimAsk], ClaimState],
+        request: ClaimRequest,
+        claim: Callable[[ClaimRequest], ClaimState],
         writer: ClaimWriter,
         metrics: Metrics,
         run_unclaimed: bool,
--- a/packages/router/seamhold/peer_pulls.py
+++ b/packages/router/seamhold/peer_pulls.py
@@ -7,7 +7,7 @@
 
 from seamhold_membership import Digest
 from seamhold_peers import FleetLists, PeerClient
-from seamhold_peers.client import BROKEN
+from seamhold_peers.client import PEER_ERRORS
 
 from .background import result_of
 from .decider import Decider
@@ -72,7 +72,7 @@
             await self._pull_settings(client, 'seed')
             await self.pull_cases(client)
             await self._pull_lists(client)
-        except BROKEN:
+        except PEER_ERRORS:
             self._metrics.count('peers.seed_unreachable')
         finally:
             client.close()
@@ -82,7 +82,7 @@
         client = self._rng.choice(list(clients.values()))
         try:
             await self._pull_lists(client)
-        except BROKEN:
+        except PEER_ERRORS:
             self._metrics.count('lists.pull_failed')
 
     async def pull_newer_lists(self, box: str, client: PeerClient) -> None:
@@ -93,7 +93,7 @@
         pulling.add(box)
         try:
             await self._pull_lists(client)
-        except BROKEN:
+        except PEER_ERRORS:
             self._metrics.count('lists.pull_failed')
         finally:
             pulling.discard(box)
@@ -121,7 +121,7 @@
         return self._compared_fingerprints.get(digest.box) != compared
 
     async def pull_cases(self, client: PeerClient) -> None:
-        """Pull the requests that end engines from a peer; raises one of BROKEN."""
+        """Pull the requests that end engines from a peer; raises one of PEER_ERRORS."""
         page = await client.pull_cases()
         self._metrics.count('cases.pulls')
         # Callers rely on the decider having applied the cases when this returns.
@@ -133,7 +133,7 @@
         """Pull the requests that end engines from a peer; False if it is unreachable."""
         try:
             await self.pull_cases(client)
-        except BROKEN:
+        except PEER_ERRORS:
             self._metrics.count('cases.pull_failed')
             return False
         return True
@@ -149,7 +149,7 @@
             self._compared_fingerprints[box] = _Comparison(
                 digest.cases_fingerprint, self._decider.cases.fingerprint
             )
-        except BROKEN:
+        except PEER_ERRORS:
             self._metrics.count('cases.pull_failed')
         finally:
             pulling.discard(box)
@@ -169,7 +169,7 @@
         pulling.add(box)
         try:
             await self._pull_settings(client, box)
-        except BROKEN:
+        except PEER_ERRORS:
             self._metrics.count('settings.pull_failed')
         finally:
             pulling.discard(box)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -108,7 +108,7 @@
         printed = []
 
         class FakeEnvironment:
-            say = staticmethod(printed.append)
+            print_line = staticmethod(printed.append)
 
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
