--- a/packages/router/seamhold/case_answers.py
+++ b/packages/router/seamhold/case_answers.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from seamhold_peers import CasesPage, EndsKnown
+from seamhold_peers import CasesPage, EndReportReply
 from seamhold_quarantine import Case, EndReport, Permission, TrialRequest, TrialResult
 
 from .background import result_of
@@ -22,15 +22,15 @@
         cases = await asyncio.wrap_future(self._decider.query(GetCases()))
         return CasesPage(cases, complete)
 
-    async def hear_cases(self, cases: tuple[Case, ...]) -> None:
+    async def receive_cases(self, cases: tuple[Case, ...]) -> None:
         """Merge cases that a peer sends."""
         await result_of(self._decider.query(ReceiveCases(cases)))
 
-    async def engine_ended(self, report: EndReport) -> EndsKnown:
+    async def engine_ended(self, report: EndReport) -> EndReportReply:
         """Record an engine's end at a peer; return what this box knows of the request."""
         return await asyncio.wrap_future(self._decider.query(ReceiveEnd(report)))
 
-    async def ask_trial(self, trial: TrialRequest) -> Permission:
+    async def request_trial(self, trial: TrialRequest) -> Permission:
         """Return whether a suspect request may run now at a peer."""
         return await asyncio.wrap_future(self._decider.query(RequestTrial(trial)))
 
--- a/packages/router/seamhold/case_handlers.py
+++ b/packages/router/seamhold/case_handlers.py
@@ -3,7 +3,7 @@
 import threading
 from collections.abc import Callable
 
-from seamhold_peers import EndsKnown
+from seamhold_peers import EndReportReply
 from seamhold_quarantine import SUSPECT_ENDS, Case, Permission, Standing, Verdict
 from seamhold_routing import Router
 
@@ -96,11 +96,11 @@
         self._record_ends(report.request, ends)
         return EndCounted(ends, report)
 
-    def _receive_end(self, message: ReceiveEnd) -> EndsKnown:
+    def _receive_end(self, message: ReceiveEnd) -> EndReportReply:
         request = message.report.request
         ends = self._quarantine.record_end(message.report, self._clock())
         self._record_ends(request, ends)
-        return EndsKnown(ends, self._quarantine.shared_case(request, self._clock()))
+        return EndReportReply(ends, self._quarantine.shared_case(request, self._clock()))
 
     def _record_ends(self, request: str, ends: int) -> None:
         if ends >= SUSPECT_ENDS:
--- a/packages/router/seamhold/decisions.py
+++ b/packages/router/seamhold/decisions.py
@@ -94,7 +94,7 @@
 
 
 class ReceiveEnd(Query):
-    """Passes on a peer's report that an engine ended; the reply is EndsKnown."""
+    """Passes on a peer's report that an engine ended; the reply is EndReportReply."""
 
     report: EndReport
 
--- a/packages/router/seamhold/forwarding/calls.py
+++ b/packages/router/seamhold/forwarding/calls.py
@@ -5,7 +5,7 @@
 from seamhold_attempts.retry import RetryRule
 from seamhold_messages.errors import Unauthorized, UnknownRoute, UnknownService
 from seamhold_messages.work import Call, Priority, Work
-from seamhold_settings.forwarding import RouteTable, choose_share
+from seamhold_settings.forwarding import RouteTable, choose_service
 from seamhold_settings.schema import ForwardedRoute, Policy
 
 from ..callers import hash_key
@@ -38,12 +38,12 @@
     route = table.find(head.host, head.target)
     if route is None:
         raise UnknownRoute('no route matches this host and path')
-    workspace = table.workspace_of(hash_key(metadata.key)) if metadata.key else None
-    if workspace is None and not route.public and table.keys_wanted:
+    workspace = table.workspace_for_key(hash_key(metadata.key)) if metadata.key else None
+    if workspace is None and not route.public and table.requires_key:
         raise Unauthorized(
             'the key belongs to no workspace' if metadata.key else 'a key is required'
         )
-    service = choose_share(route.shares, metadata.request_id)
+    service = choose_service(route.shares, metadata.request_id)
     if service is None:
         raise UnknownService('no service of this route has a weight above 0')
     policy = table.policy(route, service, workspace or '')
--- a/packages/router/seamhold/forwarding/peer_handler.py
+++ b/packages/router/seamhold/forwarding/peer_handler.py
@@ -8,7 +8,7 @@
 from seamhold_attempts.claims import ClaimState
 from seamhold_messages.errors import ClaimsUnavailable, TicketUnknown
 from seamhold_messages.work import Holding
-from seamhold_peers import AnswerEnd, AnswerPart, ClaimAsk, FleetLists, RelayedCall
+from seamhold_peers import AnswerEnd, AnswerPart, ClaimRequest, FleetLists, RelayedCall
 from seamhold_settings import Candidate
 
 from ..case_answers import CaseAnswers
@@ -39,7 +39,7 @@
         """Return the holdings that engines reported to this box at its start."""
         return await asyncio.wrap_future(self._decider.query(GetLearnedHoldings()))
 
-    async def claim(self, request: ClaimAsk) -> ClaimState:
+    async def claim(self, request: ClaimRequest) -> ClaimState:
         """Refuse: a forwarding box stores no claims."""
         raise ClaimsUnavailable('this box stores no claims')
 
--- a/packages/router/seamhold/holdings_pull.py
+++ b/packages/router/seamhold/holdings_pull.py
@@ -6,7 +6,7 @@
 
 from seamhold_membership import Digest
 from seamhold_peers import FleetLists, PeerClient
-from seamhold_peers.client import BROKEN
+from seamhold_peers.client import PEER_ERRORS
 
 from .decider import Decider
 from .decisions import ReceiveHoldings
@@ -74,7 +74,7 @@
     async def _query(self, client: PeerClient, apply_lists: Callable[[FleetLists], None]) -> bool:
         try:
             lists = await client.pull_lists(holdings=True)
-        except BROKEN:
+        except PEER_ERRORS:
             self._metrics.count('lists.pull_failed')
             return False
         apply_lists(lists)
@@ -100,7 +100,7 @@
         self._pulled_counts[sender] = digest.learned
         try:
             holdings = await client.pull_learned()
-        except BROKEN:
+        except PEER_ERRORS:
             self._metrics.count('holdings.pull_failed')
             self._pulled_counts[sender] = before
             return
--- a/packages/router/seamhold/peer_calls.py
+++ b/packages/router/seamhold/peer_calls.py
@@ -7,7 +7,7 @@
 from seamhold_attempts.claims import ClaimState
 from seamhold_attempts.tickets import TicketName
 from seamhold_messages.errors import ClaimsUnavailable, TicketUnknown, TicketUnreachable
-from seamhold_peers import AnswerEnd, AnswerPart, ClaimAsk, PeerClient, RelayedCall
+from seamhold_peers import AnswerEnd, AnswerPart, ClaimRequest, PeerClient, RelayedCall
 from seamhold_placement.rank import owners
 
 from .claims import AcquireClaim, ClaimWriter
@@ -82,7 +82,7 @@
                 AnswerEnd(TicketUnreachable('the box that holds the ticket ended the answer early'))
             )
 
-    def claim(self, request: ClaimAsk) -> ClaimState:
+    def claim(self, request: ClaimRequest) -> ClaimState:
         """Claim a key through the box that ranks first for its bucket.
 
         When that box cannot be reached this one writes the bucket itself; the platform's
--- a/packages/router/seamhold/settings_task.py
+++ b/packages/router/seamhold/settings_task.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-from seamhold_settings import Candidate, InForce, Step, Tree
+from seamhold_settings import ActiveSettings, Candidate, OfferResult, Tree
 
 from .metrics import Metrics
 from .tasks import Query, Task
@@ -29,7 +29,7 @@
 
 
 class OfferSettings(Query):
-    """Offers versions from the platform or a peer; the reply is a Step for each."""
+    """Offers versions from the platform or a peer; the reply is an OfferResult for each."""
 
     candidates: list[Candidate]
     source: str
@@ -64,7 +64,7 @@
 
     def __init__(self, metrics: Metrics, on_change: Callable[[Tree], None]):
         super().__init__()
-        self._state = InForce()
+        self._state = ActiveSettings()
         self._metrics = metrics
         self._on_change = on_change
         self.ready = threading.Event()
@@ -72,27 +72,27 @@
         self.handlers = {
             OfferSettings: self._offer,
             GetNewerSettings: lambda message: self._state.newer_than(message.revisions),
-            GetRevisions: lambda message: self._state.known(),
+            GetRevisions: lambda message: self._state.revisions(),
             GetSettingsReport: self._report,
         }
 
     def _make_snapshot(self) -> SettingsSnapshot:
         state = self._state
-        return SettingsSnapshot(state.tree, state.total(), state.fingerprint(), state.ready)
+        return SettingsSnapshot(state.tree, state.revision_sum(), state.fingerprint(), state.ready)
 
-    def _offer(self, message: OfferSettings) -> list[Step]:
+    def _offer(self, message: OfferSettings) -> list[OfferResult]:
         steps = [self._state.offer(candidate) for candidate in message.candidates]
         for candidate, step in zip(message.candidates, steps, strict=True):
             self._log_step(candidate, step, message.source)
-        if Step.TAKEN in steps:
+        if OfferResult.TAKEN in steps:
             self.snapshot = self._make_snapshot()
             self._on_change(self.snapshot.tree)
             if self.snapshot.ready:
                 self.ready.set()
         return steps
 
-    def _log_step(self, candidate: Candidate, step: Step, source: str) -> None:
-        if step is Step.SAME:
+    def _log_step(self, candidate: Candidate, step: OfferResult, source: str) -> None:
+        if step is OfferResult.SAME:
             return
         self._metrics.count(f'settings.{step}')
         self.log.info(
@@ -106,4 +106,4 @@
 
     def _report(self, _: GetSettingsReport) -> SettingsReport:
         edits = {name: held.edit_id for name, held in self._state.objects.items()}
-        return SettingsReport(self._state.known(), edits, dict(self._state.rejected))
+        return SettingsReport(self._state.revisions(), edits, dict(self._state.rejected))
--- a/packages/router/seamhold/trials.py
+++ b/packages/router/seamhold/trials.py
@@ -17,7 +17,7 @@
 from seamhold_messages.hashing import hash64
 from seamhold_messages.work import Placed
 from seamhold_peers import PeerClient
-from seamhold_peers.client import ASK_SECONDS, BROKEN, TRIAL_SECONDS
+from seamhold_peers.client import PEER_ERRORS, REPORT_SECONDS, TRIAL_REQUEST_SECONDS
 from seamhold_placement.rank import owners
 from seamhold_quarantine import (
     SUSPECT_ENDS,
@@ -158,7 +158,7 @@
         """
         if client is None:
             return self._decider.query(RequestTrial(trial)).result()
-        answer = self._answer(client.ask_trial(trial), ASK_SECONDS)
+        answer = self._answer(client.request_trial(trial), TRIAL_REQUEST_SECONDS)
         return None if answer is None or answer.verdict is Verdict.RUN else answer
 
     def check_quarantine(self, request: str) -> None:
@@ -208,7 +208,7 @@
             if client is None:
                 known_ends = known_ends or 0
             elif known_ends is None:
-                known_ends = self._answer(self._send_end(client, report), TRIAL_SECONDS)
+                known_ends = self._answer(self._send_end(client, report), REPORT_SECONDS)
                 missed = missed or known_ends is None
             else:
                 self._peering.submit(self._send_end_or_sync(client, report))
@@ -217,7 +217,7 @@
     async def _send_end_or_sync(self, client: PeerClient, report: EndReport) -> None:
         try:
             await self._send_end(client, report)
-        except BROKEN:
+        except PEER_ERRORS:
             self._metrics.count('trials.owner_unreachable')
             self._cases.synchronize_soon(report.request)
 
@@ -256,7 +256,7 @@
         future: Future = self._peering.submit(work)
         try:
             return future.result(seconds + SLACK_SECONDS)
-        except (*BROKEN, FutureTimeout):
+        except (*PEER_ERRORS, FutureTimeout):
             future.cancel()
             self._metrics.count('trials.owner_unreachable')
             return None
@@ -265,5 +265,5 @@
         """Await a message to a peer; an unreachable peer learns of it from the others."""
         try:
             await work
-        except BROKEN:
+        except PEER_ERRORS:
             self._metrics.count('trials.owner_unreachable')
