--- a/models/drain.py
+++ b/models/drain.py
@@ -30,7 +30,7 @@
 
 def gate_of(state: State) -> Gate:
     """The router's gate in this state."""
-    gate = Gate(most=CALLS)
+    gate = Gate(limit=CALLS)
     for _ in range(state.active):
         gate.enter()
     if state.closed:
--- a/tests/utils/delayed_fleet.py
+++ b/tests/utils/delayed_fleet.py
@@ -324,13 +324,13 @@
             self._handle_decisions(box, box.router.tick(self.now))
 
     def _send_digests(self, box: GossipBox) -> None:
-        names = [name for name in box.order.of(self.boxes) if name != box.router.box]
+        names = [name for name in box.order.ordered(self.boxes) if name != box.router.box]
         names = names[: box.router.tree.fleet.control.digest_peers]
         digests = box.router.digests_for(names, Versions(), self.now)
         sent = []
         for name, digest in zip(names, digests, strict=True):
             encoded = EncodedDigest(digest)
-            box.order.told(name)
+            box.order.record_sent(name)
             sent.append(encoded.digest)
             if self.now >= self.digests_lost_until:
                 self._after(self.delays.digest, self._deliver, self.boxes[name], encoded)
