--- a/packages/attempts/seamhold_attempts/retry.py
+++ b/packages/attempts/seamhold_attempts/retry.py
@@ -27,7 +27,7 @@
     CANCELLED = 'cancelled'
 
 
-#: The engine refused the call, because all its slots are taken or for another reason.
+#: Outcomes where the engine refused the call: all its slots are taken, or for another reason.
 REFUSALS = frozenset({Outcome.ENGINE_REFUSED, Outcome.ENGINE_FULL})
 #: Outcomes after which the engine is certain not to have run the call.
 NOT_RUN = frozenset(
@@ -50,7 +50,7 @@
 def may_retry(rule: RetryRule, outcome: Outcome, attempts: int, answer_started: bool) -> bool:
     """Return whether another engine may be tried after `attempts` attempts.
 
-    `answer_started` tells that a part of the answer was sent to the caller, after which no
+    `answer_started` is whether a part of the answer was sent to the caller, after which no
     second answer may begin.
     """
     if answer_started or attempts > rule.retries:
--- a/packages/attempts/seamhold_attempts/tickets.py
+++ b/packages/attempts/seamhold_attempts/tickets.py
@@ -69,7 +69,7 @@
     """Parse a ticket; raise TicketUnknown if it is malformed."""
     parts = text.split(SEPARATOR)
     if len(parts) != 3 or not all(parts):
-        raise TicketUnknown('malformed ticket')
+        raise TicketUnknown(f'malformed ticket, expected three parts joined by {SEPARATOR!r}')
     return TicketName(*parts)
 
 
@@ -92,7 +92,8 @@
         """
         self._drop_expired(now)
         if len(self._tickets) + count > self.max_tickets:
-            raise TicketsFull('this box holds its maximum number of tickets', lifetime)
+            detail = f'{count} more tickets would exceed the limit of {self.max_tickets} per box'
+            raise TicketsFull(detail, lifetime)
         issued = []
         for _ in range(count):
             name = TicketName(self.box, self.incarnation, secrets.token_hex(SECRET_BYTES))
--- a/packages/limits/seamhold_limits/queue.py
+++ b/packages/limits/seamhold_limits/queue.py
@@ -63,7 +63,8 @@
         if len(self._waiting) >= self.size:
             displaced = self._displaced_by(call)
             if displaced is None:
-                return [_refusal(call, FleetFull, 'the queue is full', max(1.0, wait))]
+                detail = f'the queue is full, its limit is {self.size} calls'
+                return [_refusal(call, FleetFull, detail, max(1.0, wait))]
             self._waiting.remove(displaced)
             refused.append(_refusal(displaced.call, FleetFull, 'displaced from a full queue', wait))
         start = max(self._virtual_time, self._finish_tags[call.workspace])
--- a/packages/limits/seamhold_limits/rate.py
+++ b/packages/limits/seamhold_limits/rate.py
@@ -7,20 +7,20 @@
     def __init__(self, rate: float, burst: float, now: float):
         self.rate = rate
         self.burst = burst
-        self._left = burst
-        self._at = now
+        self._available = burst
+        self._refilled_at = now
 
     def _refill(self, now: float) -> None:
-        elapsed = max(0.0, now - self._at)
-        self._at = now
-        self._left = min(self.burst, self._left + elapsed * self.rate)
+        elapsed = max(0.0, now - self._refilled_at)
+        self._refilled_at = now
+        self._available = min(self.burst, self._available + elapsed * self.rate)
 
     def take(self, amount: float, now: float) -> bool:
         """Take `amount` if it is available now; return whether it was."""
         self._refill(now)
-        if self._left < amount:
+        if self._available < amount:
             return False
-        self._left -= amount
+        self._available -= amount
         return True
 
     def wait(self, amount: float, now: float) -> float:
@@ -28,4 +28,4 @@
         self._refill(now)
         if self.rate <= 0:
             return float('inf')
-        return max(0.0, (amount - self._left) / self.rate)
+        return max(0.0, (amount - self._available) / self.rate)
--- a/packages/limits/seamhold_limits/workspaces.py
+++ b/packages/limits/seamhold_limits/workspaces.py
@@ -49,11 +49,11 @@
     """The work that a peer reported, and the part of it above the peer's share."""
 
     work: int = 0
-    over: int = 0
+    excess: int = 0
 
     def max_held(self, share: int) -> int:
         """Return the most that the peer may hold if its share is `share` in this box's view."""
-        return max(self.work, share + self.over)
+        return max(self.work, share + self.excess)
 
 
 NO_PEER_WORK = _PeerWork()
@@ -82,7 +82,7 @@
 
     def __init__(self, me: str):
         self.me = me
-        #: Both by the hash of the workspace's name.
+        #: Limits and states, both by the hash of the workspace's name.
         self._caps: dict[int, WorkspaceCaps] = {}
         self._states: dict[int, _WorkspaceState] = defaultdict(_WorkspaceState)
         self._boxes: list[str] = [me]
--- a/packages/membership/seamhold_membership/box_view.py
+++ b/packages/membership/seamhold_membership/box_view.py
@@ -39,7 +39,7 @@
         self._neighbour_set: frozenset[str] = frozenset()
 
     def set_list(self, boxes: list[Box], now: float) -> set[str]:
-        """Take over the platform's list, which may lag; return the names that are new on it."""
+        """Apply the platform's list, which may lag; return the names that are new on it."""
         names = {box.name for box in boxes}
         new = names - set(self._states) - {self.me}
         for name in set(self._states) - names:
@@ -65,7 +65,7 @@
     ) -> bool:
         """Record a message from a box; True if the box restarted since its last one.
 
-        `store_lost` is whether the platform fails to serve that box.
+        `store_lost` is whether that box has lost access to the platform's store.
         """
         state = self._states.get(name)
         if state is None:
@@ -136,11 +136,11 @@
         return [name for name in may_leave if self.phase(name, now) is Phase.LEAVING]
 
     def store_lost(self) -> set[str]:
-        """Return the boxes that report that the platform does not serve them."""
+        """Return the boxes that report that they have lost access to the platform's store."""
         return {name for name, state in self._states.items() if state.store_lost}
 
     def store_losses(self, now: float, seconds: float) -> list[bool]:
-        """Return, per neighbour with a message within `seconds`, whether it lost the platform."""
+        """Return, per neighbour with a message within `seconds`, whether it has lost the store."""
         return [
             self._states[name].store_lost
             for name in self._neighbours
@@ -148,7 +148,7 @@
         ]
 
     def silent(self, now: float) -> list[str]:
-        """Return the neighbours without a message for `silent_seconds`: their load is void."""
+        """Return neighbours without a message for `silent_seconds`: their reports are dropped."""
         return self._without_message(self.silent_seconds, now)
 
     def missing(self, seconds: float, now: float) -> list[str]:
--- a/packages/membership/seamhold_membership/digest.py
+++ b/packages/membership/seamhold_membership/digest.py
@@ -37,15 +37,16 @@
     it acknowledges the message even if its settings do not have that workspace yet.
     `settings_total` and `settings_fingerprint` identify the settings in force at the sender, so
     that a peer that is behind can pull them.  The versions are those of the platform's lists at
-    the sender, 0 if not known.  `store_lost` is set if the platform does not serve the sender.
+    the sender, 0 if not known.  `store_lost` is set if the sender has lost access to the store.
     `learned` counts the holdings that engines reported to the sender at its start; a starting
     box may pull them.  `cases_fingerprint` identifies the sender's set of requests that end
     engines, 0 if it is empty.
 
-    The other fields are relayed, whichever box they came from: `held` holds which engines read
-    which chats recently, `readings` the load that engines reported, `reports` the failed calls at
-    engines, `watchers` the boxes that watch the platform for all.  `store_age` is the time in
-    seconds since the platform last answered any box, None if not known.
+    The other fields are relayed, whichever box they came from: `held` names the chats that
+    engines processed recently, `readings` the load that engines reported, `reports` the failed
+    calls at engines, `watchers` the heartbeats of the boxes that watch the platform's store for
+    all.  `store_age` is the time in seconds since the platform last answered any box, None if
+    not known.
     """
 
     box: str
@@ -150,7 +151,8 @@
     def receive(self, digest: Digest) -> Digest | None:
         """Return the peer's full state as of this message.
 
-        None if the message is not newer than the last one, or if its base is missing here.
+        Returns None if the message is not newer than the last one, or if its base is missing
+        here.
         """
         states = self._states.setdefault(digest.box, OrderedDict())
         last = next(reversed(states.values()), None)
@@ -160,17 +162,15 @@
             states.clear()
         elif last is not None and digest.seq <= last.seq:
             return None
-        whole = digest if digest.full else self._on_base(digest, states.get(digest.base))
-        if whole is None:
+        full = digest if digest.full else self._on_base(digest, states.get(digest.base))
+        if full is None:
             # Without a state here the next ack is 0, which makes the peer send a full digest.
             self.forget(digest.box)
             return None
         # Relayed fields are used once; only the sender's own state serves as a base.
-        states[digest.seq] = replace(
-            whole, events=[], held=(), readings=(), reports=(), watchers=()
-        )
+        states[digest.seq] = replace(full, events=[], held=(), readings=(), reports=(), watchers=())
         _trim(states)
-        return whole
+        return full
 
     @staticmethod
     def _on_base(digest: Digest, base: Digest | None) -> Digest | None:
--- a/packages/membership/seamhold_membership/engine_view.py
+++ b/packages/membership/seamhold_membership/engine_view.py
@@ -58,8 +58,8 @@
     `weights` are the weights for the ranking of engines by chat, lower for an engine in slow
     start.  `cold` engines, a subset of `engines`, sustain only a few calls per second.  `leaving`
     engines get no new work, because they stop or their failure domain is evacuated, but still
-    hold what they have read.  `avoided` engines get none because calls to them failed, but are
-    up.  `unused` gives the reason for each listed engine that gets no new work.
+    hold the prompts that they have processed.  `avoided` engines get none because calls to them
+    failed, but are up.  `unused` gives the reason for each listed engine that gets no new work.
     """
 
     engines: dict[str, Engine]
@@ -102,7 +102,7 @@
         self._serving_cache: dict[str, Serving] = {}
 
     def set_list(self, engines: list[Engine], now: float) -> None:
-        """Take over the platform's list, which may lag."""
+        """Apply the platform's list, which may lag."""
         self._serving_cache.clear()
         engines = without_foreign_entries(engines, self._states)
         names = {engine.name for engine in engines}
@@ -116,7 +116,7 @@
     def drop_unlisted(self, now: float) -> list[str]:
         """Drop the engines that are off the list, unless an outage explains it.
 
-        Return their names.
+        Returns their names.
         """
         if not self._unlisted or now < self.outage_until:
             return []
@@ -155,7 +155,7 @@
         self._states[engine.name] = state
 
     def set_evacuated(self, domains: frozenset[str], now: float) -> None:
-        """Take over which failure domains are evacuated.
+        """Apply the set of evacuated failure domains.
 
         When an evacuation ends, all engines of the domain come back cold at once: each is
         assumed cold from now on, as after a start, until the list says otherwise.
@@ -208,7 +208,7 @@
         return True
 
     def suspect_incarnation_key(self, name: str, now: float) -> int:
-        """Return the key of the engine's start if own calls made it suspect recently, else 0."""
+        """Return the engine's incarnation key if own calls made it suspect recently, else 0."""
         state = self._states.get(name)
         if state is None or not state.suspicion.is_reported(now):
             return 0
@@ -237,10 +237,10 @@
     ) -> list[str]:
         """Return the suspects to use nevertheless, those whose suspicion expires first.
 
-        Each sign is weak, but several add up: without a limit, a service whose engines all fail
-        a few calls loses most of them, and the rest are loaded above the guaranteed bound (load
-        balancers have a panic threshold for this).  Engines that refuse connections are not
-        alive and are left out of the count.
+        Each suspicion rests on weak evidence, but several add up: without a limit, a service
+        whose engines all fail a few calls loses most of them, and the rest are loaded above the
+        guaranteed bound (load balancers have a panic threshold for this).  Engines that refuse
+        connections are not alive and are left out of the count.
         """
         suspicions = {name: self._states[name].suspicion for name in suspects}
         alive = [name for name, suspicion in suspicions.items() if not suspicion.unreachable]
--- a/packages/membership/seamhold_membership/outliers.py
+++ b/packages/membership/seamhold_membership/outliers.py
@@ -1,10 +1,10 @@
-"""Detects backend servers that fail far more often than the other servers of their service.
+"""Detects engines that fail far more often than the other engines of their service.
 
-A server may fail a part of its calls while its health check passes, and one box sees too few
+An engine may fail a part of its calls while its health check passes, and one box sees too few
 of its calls to detect it.  Boxes report to each other how many calls failed recently at each
-server, and a server is an outlier if its failures over all boxes stand out from those of the
+engine, and an engine is an outlier if its failures over all boxes stand out from those of the
 others: the outlier detection of service meshes, applied to the calls of the whole fleet.  Where
-all servers fail alike, none is an outlier.
+all engines fail alike, none is an outlier.
 """
 
 from collections import Counter, deque
@@ -20,10 +20,10 @@
 FAILURE_REPORT_SECONDS = 3.0
 #: Minimum number of failures of an outlier.
 FAILURES_MIN = 5
-#: An outlier has at least this multiple of the other servers' mean failures, plus the excess.
+#: An outlier has at least this multiple of the other engines' mean failures, plus the excess.
 MEAN_MULTIPLE_MIN = 3.0
 MEAN_EXCESS_MIN = 3.0
-#: Largest share of a service's servers that are outliers at a time.
+#: Largest share of a service's engines that are outliers at a time.
 OUTLIER_SHARE_MAX = 1 / 3
 #: Resolution of a report's stamp.
 STAMPS_PER_SECOND = 1000
@@ -37,20 +37,20 @@
 
 
 class FailureCounts:
-    """Failed calls by server: recent ones of this box, and those that other boxes reported."""
+    """Failed calls by engine: recent ones of this box, and those that other boxes reported."""
 
     def __init__(self):
         self._own: deque[tuple[float, str]] = deque()
         self._reports: dict[tuple[str, str], _PeerReport] = {}
 
-    def record_failure(self, server: str, now: float) -> None:
-        """Record that one of this box's calls failed at `server`, or is far too slow there."""
-        self._own.append((now, server))
+    def record_failure(self, engine: str, now: float) -> None:
+        """Record that one of this box's calls failed at `engine`, or is far too slow there."""
+        self._own.append((now, engine))
 
-    def report(self, box: str, server: str, now: float, incarnation_key: int = 0) -> FailureReport:
-        """Return the report on `server` that this box, `box`, sends to its peers."""
+    def report(self, box: str, engine: str, now: float, incarnation_key: int = 0) -> FailureReport:
+        """Return the report on `engine` that this box, `box`, sends to its peers."""
         stamp = int(now * STAMPS_PER_SECOND) % STAMP_SPAN
-        return FailureReport(box, server, self.own(now)[server], stamp, incarnation_key)
+        return FailureReport(box, engine, self.own(now)[engine], stamp, incarnation_key)
 
     def record_report(self, report: FailureReport, now: float) -> bool:
         """Record another box's report, which may be relayed; False if it is not new.
@@ -70,13 +70,13 @@
         return True
 
     def own(self, now: float) -> Counter[str]:
-        """Return this box's own failures by server."""
+        """Return this box's own failures by engine."""
         while self._own and self._own[0][0] <= now - WINDOW_SECONDS:
             self._own.popleft()
-        return Counter(server for _, server in self._own)
+        return Counter(engine for _, engine in self._own)
 
     def totals(self, now: float) -> Counter[str]:
-        """Return the failures by server over all boxes."""
+        """Return the failures by engine over all boxes."""
         totals = self.own(now)
         for key, report in list(self._reports.items()):
             if now >= report.at + FAILURE_REPORT_SECONDS:
@@ -86,16 +86,16 @@
         return totals
 
 
-def outliers(servers: Collection[str], failures: Counter[str]) -> list[str]:
-    """Return the servers of one service that fail far more often than the others, worst first."""
-    suspects = sorted(servers, key=lambda server: -failures[server])
-    total = sum(failures[server] for server in servers)
+def outliers(engines: Collection[str], failures: Counter[str]) -> list[str]:
+    """Return the engines of one service that fail far more often than the others, worst first."""
+    suspects = sorted(engines, key=lambda engine: -failures[engine])
+    total = sum(failures[engine] for engine in engines)
     found = []
-    for server in suspects[: int(len(servers) * OUTLIER_SHARE_MAX)]:
-        count = failures[server]
+    for engine in suspects[: int(len(engines) * OUTLIER_SHARE_MAX)]:
+        count = failures[engine]
         total -= count
-        others = len(servers) - len(found) - 1
+        others = len(engines) - len(found) - 1
         if count < max(FAILURES_MIN, MEAN_MULTIPLE_MIN * total / others + MEAN_EXCESS_MIN):
             break
-        found.append(server)
+        found.append(engine)
     return found
--- a/packages/membership/seamhold_membership/suspicion.py
+++ b/packages/membership/seamhold_membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Failure signs against one start of an engine, and how long the engine is avoided for them."""
+"""The failures of one start of an engine, and how long the engine is avoided for them."""
 
 import math
 
@@ -8,12 +8,13 @@
 
 #: Total evidence at which an engine becomes suspect; each failed call adds a part.
 EVIDENCE_FOR_SUSPECT = 1.0
-#: Suspicions in a row after which the time that the engine is avoided doubles no more.
+#: Number of suspicions in a row after which the time that the engine is avoided stops doubling.
 FLAPS_MAX = 5
-#: Doublings, at most, of the time that an outlier is avoided: one for each ejection in a row.
+#: Maximum number of doublings of the time that an outlier is avoided, one per ejection in a row.
 EJECTIONS_MAX = 3
 #: An outlier that stays in service for this time counts as recovered.
 OUTLIER_MEMORY_SECONDS = 10.0
+#: Number of other boxes whose reports together make an engine suspect.
 REPORTERS_FOR_SUSPECT = 3
 #: How long a report from another box counts.
 REPORT_SECONDS = 5.0
--- a/packages/membership/seamhold_membership/unused.py
+++ b/packages/membership/seamhold_membership/unused.py
@@ -33,8 +33,8 @@
     @property
     def unused_share(self) -> float:
         """The share of the listed engines that get no new work, from 0 to 1."""
-        out = sum(self.unused.values())
-        return out / (self.used + out) if out else 0.0
+        unused = sum(self.unused.values())
+        return unused / (self.used + unused) if unused else 0.0
 
 
 def service_use(service: str, used: int, reasons: Iterable[UnusedReason]) -> ServiceUse:
--- a/packages/placement/seamhold_placement/bound.py
+++ b/packages/placement/seamhold_placement/bound.py
@@ -225,7 +225,7 @@
 ) -> Choice | None:
     """Pick the engine with the least load for its weight, or return None if all are full.
 
-    An engine that is not in `local` needs one call less than those that are. Among equals the
+    An engine that is not in `local` is treated as if it had one more call. Among equals the
     first in rank order is taken.
     """
     best = None
--- a/packages/placement/seamhold_placement/load.py
+++ b/packages/placement/seamhold_placement/load.py
@@ -72,7 +72,7 @@
         self._readings: dict[str, _Reading] = {}
         #: This box's recent starts and ends, to be added to readings that are older.
         self._changes: dict[str, deque[_Change]] = defaultdict(deque)
-        # Silence makes no difference before an engine's reading fades.
+        # Whether an engine answers makes no difference before its reading fades.
         self._pending = PendingAnswers(FADING_FROM_SECONDS)
         self._tokens_per_call = 0.0
         self._group_of: dict[str, str] = {}
--- a/packages/quarantine/seamhold_quarantine/case.py
+++ b/packages/quarantine/seamhold_quarantine/case.py
@@ -111,7 +111,7 @@
 
 
 def is_expired(case: Case) -> bool:
-    """Return whether the store need not keep a case any longer."""
+    """Return whether the store may drop a case."""
     youngest = min((end.age for end in case.ends), default=math.inf)
     if len(case.ends) < SUSPECT_ENDS:
         return youngest >= FIRST_END_STORED_SECONDS
--- a/packages/quarantine/seamhold_quarantine/identity.py
+++ b/packages/quarantine/seamhold_quarantine/identity.py
@@ -13,7 +13,7 @@
 class RequestIdentity(Struct, frozen=True):
     """A request without what differs between two arrivals, such as its id.
 
-    The omitted headers may change how long an answer is, but not what is asked.
+    Headers are left out: they may change how long an answer is, but not what is asked.
     """
 
     workspace: str
--- a/packages/quarantine/seamhold_quarantine/messages.py
+++ b/packages/quarantine/seamhold_quarantine/messages.py
@@ -19,8 +19,8 @@
 class EngineEnd(Struct, frozen=True):
     """An engine that ended while it ran a request, `age` seconds ago.
 
-    `engine` is a 64-bit hash of the name of the engine's start.  `on_trial` is whether the
-    request was a suspect and ran there alone.
+    `engine` is a 64-bit hash of the engine's name, which identifies one start of it.  `on_trial`
+    is whether the request was a suspect and ran there alone.
     """
 
     engine: int
@@ -54,7 +54,7 @@
 
 
 class TrialRequest(Struct, frozen=True):
-    """A box's query whether a suspect may run now, for at most `seconds`.
+    """A box's query whether a suspect request may run now, for at most `seconds`.
 
     `run` identifies the run.
     """
--- a/packages/quarantine/seamhold_quarantine/quarantine.py
+++ b/packages/quarantine/seamhold_quarantine/quarantine.py
@@ -49,8 +49,8 @@
         #: The cases that all boxes should know: those with enough ends for a suspect.
         self._shared: dict[str, CaseState] = {}
         self._trials: dict[str, _Trial] = {}
-        #: Engines that proven requests ended, with the number of ends of that request, or the
-        #: largest if there are several.
+        #: For each engine that a proven request ended, the number of that request's ends, or the
+        #: largest such number if there are several.
         self._explained: dict[int, int] = {}
         #: Scopes of the suspect and quarantined requests; each change replaces the set.
         self.scopes: frozenset[int] = frozenset()
@@ -129,7 +129,7 @@
         return frozenset(key for key, end in case.ends.items() if end.at > since)
 
     def request_trial(self, query: TrialRequest, now: float) -> Permission:
-        """Return whether a run may begin now, and keep a trial until it ends or expires."""
+        """Return whether a run may begin now; a trial is recorded until it ends or expires."""
         standing = self.standing(query.request, now)
         if standing is Standing.CLEAR:
             return Permission(Verdict.RUN)
@@ -199,10 +199,10 @@
             return False
         counts = Counter(case.workspace for case in self._cases.values())
         largest = max(counts, key=counts.__getitem__)
-        own = [case for case in self._cases.values() if case.workspace == largest]
+        candidates = [case for case in self._cases.values() if case.workspace == largest]
         # Cases with fewer ends go first, a single end before a refused request.
-        own.sort(key=lambda case: (len(case.ends), case.last_end))
-        for case in own[:CASES_DROPPED]:
+        candidates.sort(key=lambda case: (len(case.ends), case.last_end))
+        for case in candidates[:CASES_DROPPED]:
             self._drop(case.request)
         return True
 
@@ -213,7 +213,7 @@
 
 
 def _explained_by(cases: Iterable[CaseState]) -> dict[int, int]:
-    """Return the engines that proven requests ended, with the most ends of one request."""
+    """Return, for each engine that proven requests ended, the most ends of one such request."""
     explained: dict[int, int] = {}
     for case in cases:
         counted = case.counted_ends({})
--- a/packages/quarantine/seamhold_quarantine/recent.py
+++ b/packages/quarantine/seamhold_quarantine/recent.py
@@ -1,6 +1,6 @@
 """Requests that recently succeeded at this box: an engine's end is not counted against them.
 
-Requests that many callers send alike run on every engine at any time, also on one that ends.
+A request that many callers send runs on every engine at any time, also on one that then ends.
 """
 
 from collections import OrderedDict
--- a/packages/routing/seamhold_routing/calls.py
+++ b/packages/routing/seamhold_routing/calls.py
@@ -166,7 +166,7 @@
         self._state.health.answer_started(call_id)
         self._state.loads.finish(engine, active.call.work, now, sent_at)
         self._record_outcome(engine, outcome, now)
-        return self._drain_queue(active.call.service, now)
+        return self._drain_service(active.call.service, now)
 
     def _record_outcome(self, engine: str, outcome: Outcome, now: float) -> None:
         self._state.counts[f'outcome.{outcome}'] += 1
@@ -215,7 +215,7 @@
         if active.engine:
             self._state.loads.finish(active.engine, active.call.work, now, active.sent_at)
         self._forget(call_id)
-        return self._drain_queue(active.call.service, now)
+        return self._drain_service(active.call.service, now)
 
     def _forget(self, call_id: str) -> None:
         active = self._active.pop(call_id, None)
@@ -240,10 +240,10 @@
         """Place the waiting calls that can be placed, and refuse those past their deadline."""
         decisions: list[Decision] = []
         for name in self._services:
-            decisions += self._drain_queue(name, now)
+            decisions += self._drain_service(name, now)
         return decisions
 
-    def _drain_queue(self, name: str, now: float) -> list[Decision]:
+    def _drain_service(self, name: str, now: float) -> list[Decision]:
         service = self._services[name]
         decisions = self._drain_waiting_for_holder(service, now)
         if len(service.queue):
--- a/packages/routing/seamhold_routing/health.py
+++ b/packages/routing/seamhold_routing/health.py
@@ -17,7 +17,7 @@
 #: The weight of each outcome as evidence that an engine is failing; 1.0 makes it suspect.  A
 #: refused connection is proof, while lost answers and failed calls also occur on healthy
 #: engines.  A misdirected call, one that reached another incarnation than expected, only
-#: makes the engine avoided for a while: the platform's list, not an answer, tells that an
+#: makes the engine avoided for a while: the platform's list, not an answer, shows that an
 #: incarnation is gone.
 EVIDENCE = {
     Outcome.NOT_SENT: 1.0,
--- a/packages/routing/seamhold_routing/relaying.py
+++ b/packages/routing/seamhold_routing/relaying.py
@@ -1,4 +1,4 @@
-"""Gossip: the updates from other boxes that a box relays, within the size of a digest."""
+"""The updates that a box relays in its digests, and how many of each kind one digest holds."""
 
 from typing import Generic, TypeVar
 
@@ -19,7 +19,7 @@
 HOLDINGS_PER_DIGEST = 40
 
 #: Updates older than this are not relayed.  Boxes that had them have dropped them by then
-#: and would take them for new each time they come round.
+#: and would accept them as new each time they arrive again.
 MAX_UPDATE_AGE_SECONDS = 3.0
 
 Update = TypeVar('Update', LoadReading, FailureReport, WatcherHeartbeat)
@@ -31,7 +31,7 @@
     update: Update
     at: float
 
-    def now(self, now: float) -> Update:
+    def aged(self, now: float) -> Update:
         """Return the update with its age at `now`."""
         return replace(self.update, age=self.update.age + now - self.at)
 
@@ -73,5 +73,5 @@
 
 
 def _fresh(taken: list[_Dated[Update]], now: float) -> tuple[Update, ...]:
-    aged = (dated.now(now) for dated in taken)
-    return tuple(update for update in aged if update.age <= MAX_UPDATE_AGE_SECONDS)
+    updates = (dated.aged(now) for dated in taken)
+    return tuple(update for update in updates if update.age <= MAX_UPDATE_AGE_SECONDS)
--- a/packages/routing/seamhold_routing/router.py
+++ b/packages/routing/seamhold_routing/router.py
@@ -35,7 +35,8 @@
 
 #: After an outage of the platform its list is complete again within this time.
 LIST_RECOVERY_SECONDS = 2.0
-#: An engine may be risked only while more than this share of its service's engines serves.
+#: A suspect request, which may end its engine, runs only while more than this share of the
+#: service's engines serves.
 MIN_SERVING_SHARE = 0.5
 #: Interval at which expired cases of requests that end engines are dropped.
 FORGET_CASES_SECONDS = 60.0
@@ -267,7 +268,7 @@
         return watches
 
     def missing_boxes(self, now: float) -> list[str]:
-        """Return neighbours that are silent and may still run: cut off, or only just gone."""
+        """Return silent neighbours that may still run: cut off from this box, or only just gone."""
         seconds = box_missing_seconds(self.boxes, self.tree.fleet.control)
         return self.boxes.missing(seconds, now)
 
--- a/packages/routing/seamhold_routing/service.py
+++ b/packages/routing/seamhold_routing/service.py
@@ -27,7 +27,7 @@
 #: Number of first-ranked engines to fetch a chat's cache from when no holder is known.  The
 #: second one held the chat before the engine that now ranks first joined, and takes the calls
 #: that the first cannot.  A wrong guess costs the engine a lookup; a right one saves
-#: reading the prompt again.
+#: processing the prompt again.
 LIKELY_HOLDERS = 2
 #: A caller's hint is only looked up among this many first-ranked engines.
 HINT_RANKS = 5
@@ -286,9 +286,10 @@
     def _other_holder(
         holders: list[str], likely: list[str], chosen: str, serving: Serving
     ) -> Engine | None:
-        """Return an engine that `chosen` may fetch the cache from, None if it holds the chat.
+        """Return another engine that `chosen` may fetch the chat's cache from.
 
-        If no holder is known, the engines in `likely` are tried.
+        Known holders are preferred to the engines in `likely`.  Returns None if `chosen` is a
+        holder itself, or if no other engine is available.
         """
         if chosen in holders:
             return None
--- a/packages/routing/seamhold_routing/watchers.py
+++ b/packages/routing/seamhold_routing/watchers.py
@@ -7,8 +7,9 @@
 from seamhold_placement import Ranking
 from seamhold_settings.schema import Control
 
-#: Number of boxes that watch the platform's store, in the whole fleet.  As many in each box's
-#: neighbourhood are 50 at 195 boxes, whose 6,572 calls a day cost the platform too much.
+#: Number of boxes in the whole fleet that watch the platform's store.  With as many in each
+#: box's neighbourhood, 50 of 195 boxes watched, and their 6,572 calls a day cost the platform
+#: too much.
 WATCHERS = 4
 WATCHERS_KEY = 'store-watchers'
 #: A watcher is assumed to have stopped when no heartbeat of it arrives for this long, or for
@@ -105,9 +106,9 @@
         expected, self._expected = self._expected, {}
         expected_since = now if self._checked or self._began is None else self._began
         self._checked = True
-        watching = 0
+        watchers = 0
         for name in self._in_rank():
-            if watching >= WATCHERS:
+            if watchers >= WATCHERS:
                 break
             if name in lost:
                 continue
@@ -116,7 +117,7 @@
             since = expected.get(name, expected_since)
             self._expected[name] = since
             if now <= max(since, self.last_heartbeat_at(name)) + silent_seconds:
-                watching += 1
+                watchers += 1
         self._heartbeats = {
             name: at for name, at in self._heartbeats.items() if name in self._expected
         }
