--- a/packages/messages/seamhold_messages/errors.py
+++ b/packages/messages/seamhold_messages/errors.py
@@ -45,7 +45,7 @@
     status = 503
 
 
-# Errors that the caller must correct.
+# Errors caused by the caller: by its request or its connection.
 
 
 class BadRequest(SeamholdError):
@@ -212,7 +212,7 @@
     status = 503
 
 
-# The call may have run.
+# The call, or an earlier one with its key or ticket, may have run, unless `ran` is NO.
 
 
 class EngineFailed(SeamholdError):
--- a/packages/peers/seamhold_peers/client.py
+++ b/packages/peers/seamhold_peers/client.py
@@ -108,7 +108,10 @@
             return await self._stub.request_trial(trial)
 
     async def end_trial(self, result: TrialResult) -> None:
-        """Report that a trial run has ended; no caller waits for it; raises one of PEER_ERRORS."""
+        """Report that a trial run has ended; raises one of PEER_ERRORS.
+
+        No caller waits for this call, so it may take longer than the other reports.
+        """
         async with asyncio.timeout(PULL_SECONDS):
             await self._stub.end_trial(result)
 
--- a/packages/router/seamhold/background.py
+++ b/packages/router/seamhold/background.py
@@ -26,7 +26,7 @@
 
 
 async def result_of(future: Future) -> object:
-    """Await a task's result; a future that is done already needs no turn of the loop."""
+    """Await a task's result; one that is done needs no iteration of the loop."""
     if future.done():
         return future.result()
     return await asyncio.wrap_future(future)
--- a/packages/router/seamhold/callers.py
+++ b/packages/router/seamhold/callers.py
@@ -71,7 +71,7 @@
     found = [name for name, space in tree.workspaces.items() if key_hash in space.keys]
     # A key in two workspaces would let one of them act as the other.
     if len(found) != 1:
-        raise Unauthorized('this key names no workspace')
+        raise Unauthorized('the key belongs to no workspace')
     return found[0]
 
 
--- a/packages/router/seamhold/case_store.py
+++ b/packages/router/seamhold/case_store.py
@@ -35,7 +35,8 @@
 FIRST_RETRY_SECONDS = 0.2
 #: Maximum wait of a starting box for the first read, in seconds.
 FIRST_READ_SECONDS = 1.5
-#: Maximum wait for the store of a call whose engine ended, in seconds; the same as for a box.
+#: Maximum time that a call whose engine ended waits for the store, in seconds; the same as
+#: it waits for a peer.
 SYNC_SECONDS = 0.15
 #: Maximum rate at which a box writes first ends, per second: an engine that ends by itself
 #: leaves one for each call that it held.  A request that is sent repeatedly is among the
@@ -43,7 +44,7 @@
 FIRST_ENDS_PER_SECOND = 20.0
 #: Interval between removals of expired cases, in seconds.
 CLEAN_SECONDS = 3600.0
-#: The key by which the box that removes them is ranked.
+#: Key that ranks the boxes; the first one removes expired cases.
 CLEANER_KEY = 'cases-cleaner'
 
 
@@ -187,10 +188,10 @@
         if owners(CLEANER_KEY, self._roster().responsive_boxes) != [self._box]:
             return
         for item in self._store.list(ObjectKind.QUARANTINE).objects:
-            if self._is_over(item) and self._try(partial(self._remove, item)):
+            if self._is_expired_object(item) and self._try(partial(self._remove, item)):
                 self._log.info('case.removed', digest=item.name)
 
-    def _is_over(self, item: PlatformObject) -> bool:
+    def _is_expired_object(self, item: PlatformObject) -> bool:
         try:
             return is_expired(from_object(item, self._unix_time()))
         except (ValueError, msgspec.ValidationError):
@@ -204,9 +205,9 @@
     def _read_until_loaded(self) -> None:
         """Read all stored cases, and retry until that succeeds.
 
-        A failed read does not mean that there are no cases: a box that served calls after
-        one let copies run when the store came back.  If the store stays unavailable, the box
-        serves calls after FIRST_READ_SECONDS.
+        A failed read does not mean that there are no cases.  A box that served calls after
+        its first read had failed let copies of requests that end engines run once the store
+        was back.  If the store stays unavailable, the box serves calls after FIRST_READ_SECONDS.
         """
         loaded = self._decider.cases.loaded
         serves_at = boot_seconds() + FIRST_READ_SECONDS
--- a/packages/router/seamhold/cases_follower.py
+++ b/packages/router/seamhold/cases_follower.py
@@ -49,7 +49,7 @@
     def wait_for_turn(self) -> None:
         """Wait until boxes are missing; if another box follows, until the next roster check.
 
-        Copies that arrive before the first list is read run at boxes without these cases.
+        Until the first list is read, boxes that lack these cases run copies of the requests.
         """
         if self._peering.boxes_missing.is_set():
             self._stopped.wait(ROSTER_SECONDS)
--- a/packages/router/seamhold/claims.py
+++ b/packages/router/seamhold/claims.py
@@ -79,7 +79,7 @@
         self.handlers = {AcquireClaim: self._acquire, ReleaseClaim: self._release}
 
     def next_timeout(self) -> float | None:
-        """Return the seconds until the next bucket may be written, None if none is due."""
+        """Return the seconds until the next bucket may be written, None if none is pending."""
         due = self._next_due()
         if due is None:
             return None
--- a/packages/router/seamhold/decider.py
+++ b/packages/router/seamhold/decider.py
@@ -74,7 +74,7 @@
         self.evacuations: ListInUse[Evacuation] = ListInUse()
         if not follows_evacuations:
             self.evacuations.loaded.set()
-        self._events_taken = 0
+        self._events_accepted = 0
         #: Whether this box watches the platform's store.
         self.watches_store = True
         self._store_lost = False
@@ -196,9 +196,9 @@
                 sign=belief.sign,
                 listed=engine.phase if engine else None,
             )
-        taken = self._router.events.accepted
-        if taken != self._events_taken:
-            self._events_taken = taken
+        accepted = self._router.events.accepted
+        if accepted != self._events_accepted:
+            self._events_accepted = accepted
             self._notify_peers()
 
     def _admit(self, message: Admit) -> Admit:
@@ -227,7 +227,9 @@
         reply = self._replies.pop(message.call_id, None)
         if reply is not None:
             self._deliver(self._router.close(message.call_id, self._clock()))
-            reply.set_result(Refused(message.call_id, CallerLeft.code, 'the caller left'))
+            reply.set_result(
+                Refused(message.call_id, CallerLeft.code, 'the caller closed its connection')
+            )
 
     def _engine_leaving(self, message: EngineLeaving) -> None:
         self._router.engine_leaving(message.engine, self._clock())
@@ -335,10 +337,10 @@
         )
 
     def _state_report(self, now: float) -> KnowledgeReport:
-        seen_at = self._router.exchange.store_answered_at
+        answered_at = self._router.exchange.store_answered_at
         ages = self._router.loads.reading_ages(now)
         return KnowledgeReport(
-            None if seen_at is None else round(now - seen_at, 3),
+            None if answered_at is None else round(now - answered_at, 3),
             len(ages),
             round(max(ages), 3) if ages else None,
             len(self._router.holders),
--- a/packages/router/seamhold/engines.py
+++ b/packages/router/seamhold/engines.py
@@ -51,7 +51,9 @@
         except urllib3.exceptions.ReadTimeoutError as error:
             raise AttemptFailed(Outcome.BROKEN, AnswerTimeout('the answer stalled')) from error
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            raise AttemptFailed(Outcome.BROKEN, AnswerCut(f'cut: {error}')) from error
+            raise AttemptFailed(
+                Outcome.BROKEN, AnswerCut(f'the answer was cut: {error}')
+            ) from error
 
     def whole(self) -> bytes:
         """Return the complete body; raises AttemptFailed if it is cut."""
@@ -114,11 +116,11 @@
         if isinstance(
             error, (urllib3.exceptions.NewConnectionError, urllib3.exceptions.ConnectTimeoutError)
         ):
-            unreachable = EngineUnreachable('no connection')
+            unreachable = EngineUnreachable('could not connect to the engine')
             refused = was_refused(error)
             return AttemptFailed(Outcome.NOT_SENT, unreachable, connection_refused=refused)
         if isinstance(error, urllib3.exceptions.TimeoutError):
-            return AttemptFailed(Outcome.FAILED, AnswerTimeout('no answer in time'))
+            return AttemptFailed(Outcome.FAILED, AnswerTimeout('no answer before the deadline'))
         return AttemptFailed(Outcome.FAILED, EngineFailed('the connection broke'))
 
     @staticmethod
@@ -150,7 +152,7 @@
             mismatch = AnswerMismatch('the answer carries the id of another request')
             return AttemptFailed(Outcome.FAILED, mismatch)
         if request.resume_after and headers.get(RESUME_HEADER) != request.resume_after:
-            return AttemptFailed(Outcome.FAILED, AnswerCut('the engine cannot resume'))
+            return AttemptFailed(Outcome.FAILED, AnswerCut('the engine did not resume the stream'))
         return None
 
     def has_ended(self, placed: Placed) -> bool:
--- a/packages/router/seamhold/entry.py
+++ b/packages/router/seamhold/entry.py
@@ -132,7 +132,7 @@
         """Read the whole body, at most BODY_MAX_BYTES; raises BodyTooLarge or BadRequest."""
         declared = cherrypy.request.headers.get('Content-Length')
         if declared is not None and int(declared) > BODY_MAX_BYTES:
-            raise BodyTooLarge(f'at most {BODY_MAX_BYTES} bytes')
+            raise BodyTooLarge(f'the body exceeds {BODY_MAX_BYTES} bytes')
         if declared is None and not cherrypy.request.headers.get('Transfer-Encoding'):
             return b''
         parts = []
@@ -140,7 +140,7 @@
         while data := self._read_part():
             size += len(data)
             if size > BODY_MAX_BYTES:
-                raise BodyTooLarge(f'at most {BODY_MAX_BYTES} bytes')
+                raise BodyTooLarge(f'the body exceeds {BODY_MAX_BYTES} bytes')
             parts.append(data)
         if declared is not None and size != int(declared):
             raise BadRequest('the body is shorter than its Content-Length')
--- a/packages/router/seamhold/explaining.py
+++ b/packages/router/seamhold/explaining.py
@@ -174,14 +174,14 @@
     if not attempts:
         return f'Failed ({code}): {end.fields.get("detail", "")}.'
     last = attempts[-1]
-    again = (
+    not_retried = (
         ''
         if end.fields.get('repeatable')
         else '; the call is not repeatable, so it was not retried'
     )
     return (
         f'Failed after it may have run ({code}): the attempt at {last["engine"]} ended as '
-        f'{last["outcome"]} after {last["seconds"]} s{again}.'
+        f'{last["outcome"]} after {last["seconds"]} s{not_retried}.'
     )
 
 
--- a/packages/router/seamhold/forwarding/followers.py
+++ b/packages/router/seamhold/forwarding/followers.py
@@ -168,10 +168,10 @@
         for problem in problems:
             self.log.warning('settings.route_left_out', version=item.version, detail=problem)
         candidate = Candidate(TREE_OBJECT, int(item.version), item.version, values)
-        (step,) = self._settings_task.query(OfferSettings([candidate], 'platform')).result(
+        (result,) = self._settings_task.query(OfferSettings([candidate], 'platform')).result(
             OFFER_SECONDS
         )
-        if step is OfferResult.INVALID:
+        if result is OfferResult.INVALID:
             self.log.error('settings.invalid', version=item.version)
 
 
@@ -209,10 +209,10 @@
         is_update: Callable[[object, object], bool] = operator.ne,
     ):
         super().__init__(
-            kind, source.store, source.metrics, source.rng, read, self._deliver_versioned
+            kind, source.store, source.metrics, source.rng, read, self._deliver_if_changed
         )
         self._source = source
-        self._deliver_to = deliver
+        self._deliver_list = deliver
         self._current = current
         self._is_update = is_update
         #: Whether an item changed since the list was delivered.
@@ -240,12 +240,12 @@
         """Deliver the list after a watch, if an item changed."""
         if self._has_update:
             self._has_update = False
-            self._deliver_versioned(list(self._items.values()))
+            self._deliver_if_changed(list(self._items.values()))
 
-    def _deliver_versioned(self, items: list) -> None:
+    def _deliver_if_changed(self, items: list) -> None:
         current = self._current()
         if current is None or _by_name(items) != _by_name(current):
-            self._deliver_to(items, int(self.version))
+            self._deliver_list(items, int(self.version))
 
     def on_answer(self) -> None:
         """Record that the store answered."""
--- a/packages/router/seamhold/forwarding/registration.py
+++ b/packages/router/seamhold/forwarding/registration.py
@@ -89,8 +89,8 @@
         try:
             self._store.put(ObjectKind.BOXES, item)
         except PlatformConflict:
-            held = self._store.get(ObjectKind.BOXES, self._me.name)
-            self._store.put(ObjectKind.BOXES, PlatformObject(item.name, item.spec, held.version))
+            stored = self._store.get(ObjectKind.BOXES, self._me.name)
+            self._store.put(ObjectKind.BOXES, PlatformObject(item.name, item.spec, stored.version))
         self._written_at = now
         self._log.info('box.registered', address=self._me.peer_address)
 
@@ -106,7 +106,7 @@
         for name in [
             name for name in self._listed if now - self._seen_at[name] > MAX_SILENT_SECONDS
         ]:
-            held = self._store.get(ObjectKind.BOXES, name)
-            self._store.delete(ObjectKind.BOXES, name, held.version)
+            stored = self._store.get(ObjectKind.BOXES, name)
+            self._store.delete(ObjectKind.BOXES, name, stored.version)
             del self._listed[name]
             self._log.info('box.cleared', box=name)
--- a/packages/router/seamhold/guards.py
+++ b/packages/router/seamhold/guards.py
@@ -63,7 +63,7 @@
         self._body_hash = body_hash
 
     def begin(self, remaining: float) -> None:
-        """Mark the ticket used; raises KeyInUse, KeyMismatch or TicketUnknown."""
+        """Mark the ticket as used; raises KeyInUse, KeyMismatch or TicketUnknown."""
         message = BeginTicket(self._ticket, self._workspace, self._body_hash)
         self._ticket_task.query(message).result(TASK_SECONDS)
 
--- a/packages/router/seamhold/holdings_pull.py
+++ b/packages/router/seamhold/holdings_pull.py
@@ -28,8 +28,8 @@
 
     After all boxes have restarted no box has any holdings: each then queries some of the
     engines, and the other boxes query it.  By digests alone it took two seconds to spread
-    240 holdings, which cost 0.02 of a day's value in prompts that were read again (a day
-    of 9 engines whose 7 boxes all lose power).
+    240 holdings; prompts that engines processed again in that time cost 0.02 of the day's
+    value, on a day of 9 engines whose 7 boxes all lose power.
 
     `first_query_done` is set after the first queries; `received_all` is whether a queried peer
     had the complete holdings.  Used on the loop of the peer connections only.
--- a/packages/router/seamhold/peer_pulls.py
+++ b/packages/router/seamhold/peer_pulls.py
@@ -54,7 +54,7 @@
         self._compared_fingerprints: dict[str, _Comparison] = {}
 
     async def pull_from_each(self, addresses: set[str]) -> None:
-        """Pull from one seed after another until this box is ready; used in an outage."""
+        """Pull from one address after another until this box is ready; used in an outage."""
         if self._pulling_from_each:
             return
         self._pulling_from_each = True
@@ -156,10 +156,10 @@
 
     def has_other_settings(self, digest: Digest) -> bool:
         """Whether a peer has settings in force that this box may lack."""
-        mine = self._settings_task.snapshot
-        if digest.settings_total == mine.total:
-            return digest.settings_fingerprint != mine.fingerprint
-        return digest.settings_total > mine.total
+        snapshot = self._settings_task.snapshot
+        if digest.settings_total == snapshot.total:
+            return digest.settings_fingerprint != snapshot.fingerprint
+        return digest.settings_total > snapshot.total
 
     async def pull_newer_settings(self, box: str, client: PeerClient) -> None:
         """Pull the settings that a peer has in force and that are newer than this box's."""
--- a/packages/router/seamhold/peering.py
+++ b/packages/router/seamhold/peering.py
@@ -101,7 +101,7 @@
         self._handler: PeerHandler | None = None
         self._server: PeerServer | None = None
         self._thread = threading.Thread(target=self._run, name='peering', daemon=True)
-        self._loops: list[asyncio.Task] = []
+        self._periodic_tasks: list[asyncio.Task] = []
         self._started = threading.Event()
         self._failure: BaseException | None = None
 
@@ -121,11 +121,11 @@
 
     def client(self, box: str) -> PeerClient | None:
         """Return the client of a listed box, connecting if it is not a neighbour."""
-        found = self._clients.get(box) or self._extra_clients.get(box)
-        if found is None and box in self._addresses:
+        client = self._clients.get(box) or self._extra_clients.get(box)
+        if client is None and box in self._addresses:
             # A channel is bound to the loop that is running when it is created.
-            found = self.submit(self._connect_other(box)).result(STOP_SECONDS)
-        return found
+            client = self.submit(self._connect_other(box)).result(STOP_SECONDS)
+        return client
 
     async def _connect_other(self, box: str) -> PeerClient:
         client = PeerClient(self._addresses[box])
@@ -151,7 +151,7 @@
         await self._server.start(address.host, address.port)
         self._digest_port = DigestPort(self.names, self._receive_digest)
         await self._digest_port.listen(address.host, address.port)
-        self._loops = [
+        self._periodic_tasks = [
             self.loop.create_task(
                 self._run_periodically(self._update_roster, self._wait_for_roster_update)
             ),
@@ -216,7 +216,7 @@
         self._thread.join(timeout=STOP_SECONDS)
 
     async def _close(self) -> None:
-        for task in self._loops:
+        for task in self._periodic_tasks:
             task.cancel()
         self._background.cancel()
         self.catch_up.cancel()
--- a/packages/router/seamhold/runner.py
+++ b/packages/router/seamhold/runner.py
@@ -82,19 +82,19 @@
 
     def run(self, job: Job) -> Answer:
         """Return the call's answer, or raise the error that its caller receives."""
-        begun = False
+        guard_begun = False
         try:
             self._permit(job, TRIAL_WAIT_SECONDS)
             placed = self._await_placement(job, self._decider.query(Admit(job.call)))
             job.guard.begin(self._remaining(job))
-            begun = True
-            self._check_time(job)
+            guard_begun = True
+            self._check_deadline(job)
             self._recheck_permission(job)
             self._budgets.record_first_attempt(job.call.service)
-            return self._attempts(job, placed)
+            return self._run_attempts(job, placed)
         except SeamholdError as error:
             self._close(job)
-            raise self._caller_error(job, error, begun) from error
+            raise self._caller_error(job, error, guard_begun) from error
         except BaseException:
             self._close(job)
             raise
@@ -130,23 +130,23 @@
         else:
             self._permit(job, 0.0)
 
-    def _caller_error(self, job: Job, error: SeamholdError, begun: bool) -> SeamholdError:
+    def _caller_error(self, job: Job, error: SeamholdError, guard_begun: bool) -> SeamholdError:
         """Return the caller's error, with `ran` set for all attempts, and end the guard."""
         if job.maybe_ran:
             error.ran = Ran.UNKNOWN
-        if begun and not job.maybe_ran:
+        if guard_begun and not job.maybe_ran:
             job.guard.not_run()
-        elif begun:
+        elif guard_begun:
             job.guard.done()
         return error
 
     def _remaining(self, job: Job) -> float:
         return job.call.deadline - self._environment.monotonic()
 
-    def _check_time(self, job: Job) -> None:
+    def _check_deadline(self, job: Job) -> None:
         # The process may have been suspended between the decision and this line.
         if self._remaining(job) <= 0:
-            raise DeadlinePassed('the time ran out before the call was sent')
+            raise DeadlinePassed('the deadline passed before the call was sent')
 
     def _await_placement(self, job: Job, reply: Future) -> Placed:
         wait = max(0.0, self._remaining(job)) + DECIDER_SLACK_SECONDS
@@ -154,20 +154,20 @@
         try:
             decision = reply.result(wait)
         except FutureTimeout as error:
-            raise DeadlinePassed('the time ran out in the queue') from error
+            raise DeadlinePassed('the deadline passed while the call was queued') from error
         finally:
             job.cancellation.attach(None)
         if isinstance(decision, Refused):
             raise error_from(decision.code, decision.detail, decision.retry_after)
         return decision
 
-    def _attempts(self, job: Job, placed: Placed) -> Answer:
+    def _run_attempts(self, job: Job, placed: Placed) -> Answer:
         while True:
             try:
                 return self._attempt(job, placed)
             except AttemptFailed as failure:
                 try:
-                    placed = self._next_place(job, placed, failure, streaming=False)
+                    placed = self._retry_placement(job, placed, failure, streaming=False)
                 except SeamholdError as error:
                     return self._engine_failure(job, placed, failure, error)
 
@@ -225,7 +225,7 @@
         began_at = job.attempts[-1].began_at
         self._decider.send(EngineLoadReported(placed.engine, load.requests, began_at))
 
-    def _next_place(
+    def _retry_placement(
         self, job: Job, placed: Placed, failure: AttemptFailed, streaming: bool
     ) -> Placed:
         """Return the placement for a retry; raises if the call must not be retried.
@@ -264,7 +264,7 @@
         )
         retry = RetryCall(job.call.id, placed.engine, failure.outcome)
         next_placed = self._await_placement(job, self._decider.query(retry))
-        self._check_time(job)
+        self._check_deadline(job)
         try:
             self._recheck_permission(job)
         except (RequestQuarantined, RequestOnTrial) as refusal:
@@ -341,7 +341,7 @@
                 except AttemptFailed as failure:
                     outcome = failure.outcome
                     answer.close()
-                    placed = self._next_place(job, placed, failure, streaming=True)
+                    placed = self._retry_placement(job, placed, failure, streaming=True)
                     outcome = Outcome.CANCELLED
                     answer = self._resume(job, placed, watch)
         except SeamholdError as error:
@@ -361,7 +361,7 @@
             try:
                 return self._open(job, placed, request)
             except AttemptFailed as failure:
-                placed = self._next_place(job, placed, failure, streaming=True)
+                placed = self._retry_placement(job, placed, failure, streaming=True)
 
     @staticmethod
     def _events(watch: StreamCheck, answer: OpenAnswer) -> Iterator[bytes]:
--- a/packages/router/seamhold/serve.py
+++ b/packages/router/seamhold/serve.py
@@ -176,7 +176,7 @@
     # Start and stop.
 
     def start(self) -> None:
-        """Start all tasks and listen; raises OSError if a port is taken."""
+        """Start all tasks and listen; raises OSError if a port is in use."""
         quiet_cherrypy()
         for task in (self.decider, self.settings_task, self.claims, self.tickets):
             task.start()
--- a/packages/router/seamhold/settings_follower.py
+++ b/packages/router/seamhold/settings_follower.py
@@ -66,17 +66,17 @@
     def _offer(self, objects: list[PlatformObject]) -> None:
         envelopes = list(filter(None, map(self._read, objects)))
         offer = OfferSettings([envelope.candidate() for envelope in envelopes], 'platform')
-        steps = self._settings_task.query(offer).result(OFFER_SECONDS)
-        for envelope, step in zip(envelopes, steps, strict=True):
-            if step in (OfferResult.TAKEN, OfferResult.SAME):
+        results = self._settings_task.query(offer).result(OFFER_SECONDS)
+        for envelope, result in zip(envelopes, results, strict=True):
+            if result in (OfferResult.TAKEN, OfferResult.SAME):
                 self._envelopes[envelope.name] = envelope
-            elif step in (OfferResult.OLDER, OfferResult.BRANCH):
+            elif result in (OfferResult.OLDER, OfferResult.BRANCH):
                 self._repair(envelope.name)
 
     def _in_force(self, name: str) -> Envelope:
         """Return the version in force, also when this box got it from a peer."""
-        others = self._settings_task.query(GetNewerSettings({})).result(OFFER_SECONDS)
-        candidate = next(item for item in others if item.name == name)
+        active = self._settings_task.query(GetNewerSettings({})).result(OFFER_SECONDS)
+        candidate = next(item for item in active if item.name == name)
         seen = self._envelopes.get(name)
         if seen is not None and seen.edits[-1].id == candidate.edit_id:
             return seen
--- a/packages/router/seamhold/settings_task.py
+++ b/packages/router/seamhold/settings_task.py
@@ -81,23 +81,23 @@
         return SettingsSnapshot(state.tree, state.revision_sum(), state.fingerprint(), state.ready)
 
     def _offer(self, message: OfferSettings) -> list[OfferResult]:
-        steps = [self._state.offer(candidate) for candidate in message.candidates]
-        for candidate, step in zip(message.candidates, steps, strict=True):
-            self._log_step(candidate, step, message.source)
-        if OfferResult.TAKEN in steps:
+        results = [self._state.offer(candidate) for candidate in message.candidates]
+        for candidate, result in zip(message.candidates, results, strict=True):
+            self._log_result(candidate, result, message.source)
+        if OfferResult.TAKEN in results:
             self.snapshot = self._make_snapshot()
             self._on_change(self.snapshot.tree)
             if self.snapshot.ready:
                 self.ready.set()
-        return steps
+        return results
 
-    def _log_step(self, candidate: Candidate, step: OfferResult, source: str) -> None:
-        if step is OfferResult.SAME:
+    def _log_result(self, candidate: Candidate, result: OfferResult, source: str) -> None:
+        if result is OfferResult.SAME:
             return
-        self._metrics.count(f'settings.{step}')
+        self._metrics.count(f'settings.{result}')
         self.log.info(
             'settings.offer',
-            step=step,
+            step=result,
             source=source,
             object=candidate.name,
             revision=candidate.revision,
--- a/packages/router/seamhold/tickets.py
+++ b/packages/router/seamhold/tickets.py
@@ -18,7 +18,7 @@
 
 
 class BeginTicket(Query):
-    """Marks a ticket used before its call is sent; fails if the call was sent before."""
+    """Marks a ticket as used, before its call is sent; fails if the call was sent before."""
 
     ticket: TicketName
     workspace: str
--- a/packages/router/seamhold/trials.py
+++ b/packages/router/seamhold/trials.py
@@ -1,4 +1,4 @@
-"""Decides, for request threads, whether a request may run under which engines ended.
+"""Decides, for request threads, whether a request that ended engines may run.
 
 If no engine has ended this only checks an empty set.  The owners of a request, the two
 boxes that rank first for it among the responsive ones, decide: it runs alone only if both
@@ -119,12 +119,12 @@
             if permission.verdict is Verdict.RUN_ALONE:
                 return True
             if permission.verdict is Verdict.REFUSE:
-                raise RequestQuarantined('engines ended under it', permission.rest)
+                raise RequestQuarantined('engines ended under this request', permission.rest)
             if cancellation.cancelled:
                 raise CallerLeft('the caller closed its connection')
             if is_late:
                 raise RequestOnTrial(
-                    'it may only run alone, and already runs or cannot run now',
+                    'the request may only run alone, and it already runs or cannot run now',
                     RETRY_AFTER_SECONDS,
                 )
             self._environment.sleep(POLL_SECONDS)
@@ -165,7 +165,7 @@
         """Raise RequestQuarantined if the request is quarantined by now."""
         own = self._decider.query(GetStanding(request, '')).result()
         if own.verdict is Verdict.REFUSE:
-            raise RequestQuarantined('engines ended under it', own.rest)
+            raise RequestQuarantined('engines ended under this request', own.rest)
 
     def record_engine_end(
         self, identity: RequestIdentity, placed: Placed, on_trial: bool, count_needed: bool
@@ -231,10 +231,10 @@
 
         With digests alone this box would let copies run until the next digest arrives.
         """
-        known = await client.engine_ended(report)
-        if known.case is not None:
-            await result_of(self._decider.query(ReceiveCases((known.case,))))
-        return known.ends
+        reply = await client.engine_ended(report)
+        if reply.case is not None:
+            await result_of(self._decider.query(ReceiveCases((reply.case,))))
+        return reply.ends
 
     def report_trial_end(self, request: str, run: str, well: bool) -> None:
         """Report the end of a run to the owners; `well` means that an engine answered it."""
