--- a/packages/messages/seamhold_messages/errors.py
+++ b/packages/messages/seamhold_messages/errors.py
@@ -349,15 +349,15 @@
     code = 'entry_unsound'
 
 
-def _codes(kind: type[SeamholdError]) -> dict[str, type[SeamholdError]]:
-    found = {kind.code: kind}
+def _errors_by_code(kind: type[SeamholdError]) -> dict[str, type[SeamholdError]]:
+    errors = {kind.code: kind}
     for child in kind.__subclasses__():
-        found |= _codes(child)
-    return found
+        errors |= _errors_by_code(child)
+    return errors
 
 
 #: Maps each stable code to its exception class.
-ERRORS_BY_CODE = _codes(SeamholdError)
+ERRORS_BY_CODE = _errors_by_code(SeamholdError)
 
 
 def error_from(code: str, detail: str = '', retry_after: float | None = None):
--- a/packages/router/seamhold/callers.py
+++ b/packages/router/seamhold/callers.py
@@ -110,7 +110,7 @@
     body = json.dumps(value).encode()
     sent_headers = {'Content-Type': 'application/json'}
     request = EngineRequest(incoming.id, 'POST', CHAT_PATH, sent_headers, body)
-    call = _call(incoming, route, str(chat or _first_messages(messages)), work, now)
+    call = _call(incoming, route, str(chat or _unnamed_chat_key(messages)), work, now)
     return _prepared(incoming, call, request, route, value.get('stream') is True)
 
 
@@ -139,8 +139,11 @@
     return hashlib.sha256(f'seamhold\0{workspace}'.encode()).hexdigest()[:32]
 
 
-def _first_messages(messages: list) -> str:
-    """Return a name for an unnamed chat: its first messages are the same in every turn."""
+def _unnamed_chat_key(messages: list) -> str:
+    """Return a key for a chat that the caller did not name.
+
+    It is made of the first messages, which are the same in every turn.
+    """
     text = json.dumps(messages[:FIRST_MESSAGES], sort_keys=True)
     return hashlib.sha256(text.encode()).hexdigest()
 
--- a/packages/router/seamhold/case_handlers.py
+++ b/packages/router/seamhold/case_handlers.py
@@ -93,16 +93,16 @@
         if report is None or message.excused:
             return EndCounted()
         ends = self._quarantine.record_end(report, now)
-        self._record_ends(report.request, ends)
+        self._publish_if_suspect(report.request, ends)
         return EndCounted(ends, report)
 
     def _receive_end(self, message: ReceiveEnd) -> EndReportReply:
         request = message.report.request
         ends = self._quarantine.record_end(message.report, self._clock())
-        self._record_ends(request, ends)
+        self._publish_if_suspect(request, ends)
         return EndReportReply(ends, self._quarantine.shared_case(request, self._clock()))
 
-    def _record_ends(self, request: str, ends: int) -> None:
+    def _publish_if_suspect(self, request: str, ends: int) -> None:
         if ends >= SUSPECT_ENDS:
             self._publish_case(request)
 
--- a/packages/router/seamhold/forwarding/held.py
+++ b/packages/router/seamhold/forwarding/held.py
@@ -1,4 +1,4 @@
-"""Queries engines for the prompt parts that they hold, when no peer of a starting box knows.
+"""Queries engines for the prompt parts that they hold, if no peer has them at a box's start.
 
 Boxes keep holdings in memory only, so no box has them after all boxes restarted at once.
 Rendezvous hashing assigns each engine to one live box, which queries it; the other boxes
@@ -25,7 +25,7 @@
 TOKENS_MIN = 512
 READY_POLL_SECONDS = 1.0
 QUERY_SECONDS = 1.0
-#: How long to wait for the holdings that peers know, in seconds.  A running peer answers
+#: How long to wait for the holdings that peers have, in seconds.  A running peer answers
 #: within 0.02 s and a closed port refuses at once; a box without power does not answer.
 PEERS_SECONDS = 0.15
 #: Interval between checks of the list for new engines, in seconds.  After an outage of
@@ -73,8 +73,8 @@
         self._live_boxes = live_boxes
         #: The lists of the last check.  Ranking all boxes for all engines takes
         #: milliseconds in large fleets, so it is skipped while neither list changes.
-        self._seen_boxes: tuple[str, ...] = ()
-        self._seen_engines: list[Engine] = []
+        self._checked_boxes: tuple[str, ...] = ()
+        self._checked_engines: list[Engine] = []
         self._log = logger('held')
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run, name='held', daemon=True)
@@ -101,9 +101,9 @@
         """Query the listed engines that are not in `queried` and add them to it."""
         boxes = self._live_boxes()
         engines = self._decider.engines.items or []
-        if boxes == self._seen_boxes and engines is self._seen_engines:
+        if boxes == self._checked_boxes and engines is self._checked_engines:
             return
-        self._seen_boxes, self._seen_engines = boxes, engines
+        self._checked_boxes, self._checked_engines = boxes, engines
         for engine in engines_to_query(self._me, [*boxes], engines, self._tree()):
             if engine.name not in queried and not self._stopped.is_set():
                 queried.add(engine.name)
--- a/packages/router/seamhold/forwarding/registration.py
+++ b/packages/router/seamhold/forwarding/registration.py
@@ -43,7 +43,8 @@
         self._live_boxes = live_boxes
         self._log = logger('registration')
         self._listed: dict[str, Box] = {}
-        self._seen_at: dict[str, float] = {}
+        #: When each listed box was last live, or first listed; on the box's clock.
+        self._last_live_at: dict[str, float] = {}
         self._list_loaded = False
         self._written_at: float | None = None
         self._changed = threading.Event()
@@ -99,12 +100,12 @@
         now = self._clock()
         live = self._live_boxes()
         for name in self._listed:
-            if name in live or name not in self._seen_at:
-                self._seen_at[name] = now
+            if name in live or name not in self._last_live_at:
+                self._last_live_at[name] = now
         if not live or live[0] != self._me.name:
             return
         for name in [
-            name for name in self._listed if now - self._seen_at[name] > MAX_SILENT_SECONDS
+            name for name in self._listed if now - self._last_live_at[name] > MAX_SILENT_SECONDS
         ]:
             stored = self._store.get(ObjectKind.BOXES, name)
             self._store.delete(ObjectKind.BOXES, name, stored.version)
