--- a/packages/router/seamhold/case_store.py
+++ b/packages/router/seamhold/case_store.py
@@ -1,10 +1,10 @@
-"""Keeps what is known of requests that end engines in the platform's store.
+"""Keeps the cases of requests that end engines in the platform's store.
 
-Peers tell each other within some tenths of a second; the store is for the moment at which
-all boxes are gone, and for boxes that reach it but not each other.  A box reads it at its
-start and writes what itself learned of suspects; while boxes are missing, a box whose engine
-ended under a request joins that with the store, and `CasesFollower` follows the others.  One
-box removes what is long over.
+Peers exchange cases within some tenths of a second; the store is for a restart after all
+boxes are gone, and for boxes that reach the store but not each other.  A box reads the store
+at its start and writes its own cases of suspects.  While boxes are missing, a box whose
+engine ended under a request synchronizes that case with the store, and `CasesFollower`
+watches the cases of the others.  One box removes expired cases.
 """
 
 import queue
@@ -23,33 +23,35 @@
 
 from .clock import boot_seconds
 from .decider import Decider
-from .decisions import DeciderReport, HearCases, WantCase
+from .decisions import DeciderReport, GetCase, ReceiveCases
 from .logs import logger
 from .metrics import Metrics
 from .ports import RemovableStore
 from .tasks import Stop
 
-#: Time until a call that failed is made again, in seconds.
+#: Delay before a failed call is retried, in seconds.
 RETRY_SECONDS = 2.0
-#: The same for the first read, for which a box that starts waits.  In seconds.
+#: The same for the first read, which a starting box waits for, in seconds.
 FIRST_RETRY_SECONDS = 0.2
-#: How long a box that starts waits for the first read, in seconds.
+#: Maximum wait of a starting box for the first read, in seconds.
 FIRST_READ_SECONDS = 1.5
-#: A call whose engine ended waits so long for the store, as it does for a box.  In seconds.
-JOIN_SECONDS = 0.15
-#: First ends that a box writes a second at most: an engine that ends by itself leaves one of
-#: each call that it held, of which a request that comes again and again is among the first.
+#: Maximum wait for the store of a call whose engine ended, in seconds; the same as for a box.
+SYNC_SECONDS = 0.15
+#: Maximum rate at which a box writes first ends, per second: an engine that ends by itself
+#: leaves one for each call that it held.  A request that is sent repeatedly is among the
+#: first of them.
 FIRST_ENDS_PER_SECOND = 20.0
-#: How often what is over is removed, in seconds.
+#: Interval between removals of expired cases, in seconds.
 CLEAN_SECONDS = 3600.0
-#: Ranks the box that removes it.
+#: The key by which the box that removes them is ranked.
 CLEANER_KEY = 'cases-cleaner'
 
 
 class StoredEnd(Struct, frozen=True):
     """An engine's end; `unix_time` is in seconds.
 
-    The engine's hash has 64 bits, more than every reader of JSON holds: it goes as text.
+    The engine's hash is stored as hexadecimal text: not every JSON reader supports 64-bit
+    numbers.
     """
 
     engine: str
@@ -58,7 +60,7 @@
 
 
 class StoredCase(Struct, frozen=True):
-    """A case as it stands in the store; its object is named by the request's digest."""
+    """A case as it is stored; the name of its object is the request's digest."""
 
     scope: str
     workspace: str
@@ -68,7 +70,7 @@
 
 
 def to_object(case: Case, unix_time: float, version: str = '') -> PlatformObject:
-    """A case as an object of the store, at `unix_time` in seconds."""
+    """Return a case as an object of the store; `unix_time` is the current time in seconds."""
     ends = tuple(
         StoredEnd(f'{end.engine:x}', end.on_trial, unix_time - end.age) for end in case.ends
     )
@@ -78,7 +80,7 @@
 
 
 def from_object(item: PlatformObject, unix_time: float) -> Case:
-    """The case that an object tells; raises ValueError if it cannot be read."""
+    """Return the case in an object; raises ValueError or ValidationError if it is invalid."""
     stored = msgspec.convert(item.spec, StoredCase)
     ends = tuple(
         EngineEnd(int(end.engine, 16), end.on_trial, max(0.0, unix_time - end.unix_time))
@@ -89,17 +91,17 @@
     return Case(item.name, int(stored.scope, 16), stored.workspace, ends, stored.clears, age)
 
 
-class _Wanted(Struct, frozen=True):
-    """A request of which the store and this box should know the same; `done` tells when."""
+class _SyncRequest(Struct, frozen=True):
+    """A request whose case is to be synchronized with the store; `done` is set afterwards."""
 
     request: str
     done: threading.Event | None = None
 
 
 class CaseStore:
-    """The task that reads the store and writes to it.
+    """The task that reads cases from the store and writes them to it.
 
-    `roster` tells which boxes this one hears.
+    `roster` returns the decider's report, with the boxes that are responsive or missing.
     """
 
     def __init__(
@@ -118,71 +120,71 @@
         self._unix_time = unix_time
         self._metrics = metrics
         self._log = logger('case-store')
-        self._changed: queue.SimpleQueue[_Wanted | Stop] = queue.SimpleQueue()
+        self._pending: queue.SimpleQueue[_SyncRequest | Stop] = queue.SimpleQueue()
         self._stopped = threading.Event()
         now = boot_seconds()
         self._cleans_at = now + CLEAN_SECONDS
         self._first_ends = TokenBucket(FIRST_ENDS_PER_SECOND, FIRST_ENDS_PER_SECOND, now)
         self._thread = threading.Thread(target=self._run, name='case-store', daemon=True)
-        decider.cases.known.clear()
-        decider.cases.on_case = self.join_soon
+        decider.cases.loaded.clear()
+        decider.cases.on_case_changed = self.synchronize_soon
 
     def start(self) -> None:
-        """Begin to read and write."""
+        """Start to read and write."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Write no more."""
+        """Stop reading and writing."""
         self._stopped.set()
-        self._changed.put(Stop())
+        self._pending.put(Stop())
 
-    def misses_boxes(self) -> bool:
-        """Whether a listed box is silent: it may be there and know what this one does not."""
+    def has_missing_boxes(self) -> bool:
+        """Whether a listed box is silent: it may be up and have cases that this box lacks."""
         return bool(self._roster().missing_boxes)
 
-    def join(self, request: str) -> None:
-        """Join what this box and the store know of a request, and wait for it a little.
+    def synchronize(self, request: str) -> None:
+        """Synchronize the case of a request with the store; wait at most SYNC_SECONDS.
 
-        A store that is slow must not hold calls whose engine ended.
+        A slow store must not delay calls whose engine ended.
         """
         if self._decider.store_lost:
             return
-        wanted = _Wanted(request, threading.Event())
-        self._changed.put(wanted)
-        wanted.done.wait(JOIN_SECONDS)
+        pending = _SyncRequest(request, threading.Event())
+        self._pending.put(pending)
+        pending.done.wait(SYNC_SECONDS)
 
-    def join_soon(self, request: str) -> None:
-        """The same without waiting."""
-        self._changed.put(_Wanted(request))
+    def synchronize_soon(self, request: str) -> None:
+        """Synchronize the case of a request with the store, without waiting."""
+        self._pending.put(_SyncRequest(request))
 
     def _run(self) -> None:
-        self._read_first()
+        self._read_until_loaded()
         while not self._stopped.is_set():
-            wanted = self._next()
-            if isinstance(wanted, Stop):
+            pending = self._next()
+            if isinstance(pending, Stop):
                 return
-            if wanted is None:
+            if pending is None:
                 self._try(self.clean)
-            elif not self._try(partial(self._write, wanted.request)):
-                self._changed.put(wanted)
+            elif not self._try(partial(self._write, pending.request)):
+                self._pending.put(pending)
                 self._stopped.wait(RETRY_SECONDS)
-            elif wanted.done is not None:
-                wanted.done.set()
+            elif pending.done is not None:
+                pending.done.set()
 
-    def _next(self) -> _Wanted | Stop | None:
-        """What is to be done next, None when it is time to clean."""
+    def _next(self) -> _SyncRequest | Stop | None:
+        """Return the next request or the stop message, None when it is time to clean."""
         try:
-            return self._changed.get(timeout=max(0.0, self._cleans_at - boot_seconds()))
+            return self._pending.get(timeout=max(0.0, self._cleans_at - boot_seconds()))
         except queue.Empty:
             self._cleans_at = boot_seconds() + CLEAN_SECONDS
             return None
 
     def clean(self) -> None:
-        """Remove what is over, where this box ranks first for that.
+        """Remove expired cases, if this box ranks first for it.
 
-        Each box that starts reads all that is kept, and nothing else ends that.
+        Each box reads all stored cases at its start, and nothing else removes them.
         """
-        if owners(CLEANER_KEY, self._roster().heard_boxes) != [self._box]:
+        if owners(CLEANER_KEY, self._roster().responsive_boxes) != [self._box]:
             return
         for item in self._store.list(ObjectKind.QUARANTINE).objects:
             if self._is_over(item) and self._try(partial(self._remove, item)):
@@ -192,26 +194,27 @@
         try:
             return is_expired(from_object(item, self._unix_time()))
         except (ValueError, msgspec.ValidationError):
-            # Another's writing; said when it was read.
+            # Not written by a box; it was logged when it was read.
             return False
 
     def _remove(self, item: PlatformObject) -> None:
-        """Remove an object, unless another end was written since it was read."""
+        """Remove an object, unless another end has been written since it was read."""
         self._store.delete(ObjectKind.QUARANTINE, item.name, item.version)
 
-    def _read_first(self) -> None:
-        """Read all that is kept, again and again until that succeeds.
+    def _read_until_loaded(self) -> None:
+        """Read all stored cases, and retry until that succeeds.
 
-        A failed call tells nothing: a box that served on it let copies run as the store came
-        back.  One that stays away keeps no box from serving.
+        A failed read does not mean that there are no cases: a box that served calls after
+        one let copies run when the store came back.  If the store stays unavailable, the box
+        serves calls after FIRST_READ_SECONDS.
         """
-        known = self._decider.cases.known
+        loaded = self._decider.cases.loaded
         serves_at = boot_seconds() + FIRST_READ_SECONDS
         while not self._stopped.is_set() and not self._try(self._read):
             if boot_seconds() >= serves_at:
-                known.set()
-            self._stopped.wait(RETRY_SECONDS if known.is_set() else FIRST_RETRY_SECONDS)
-        known.set()
+                loaded.set()
+            self._stopped.wait(RETRY_SECONDS if loaded.is_set() else FIRST_RETRY_SECONDS)
+        loaded.set()
 
     def _try(self, step: Callable[[], None]) -> bool:
         try:
@@ -222,10 +225,10 @@
         return True
 
     def _read(self) -> None:
-        self.take(self._store.list(ObjectKind.QUARANTINE).objects)
+        self.merge_objects(self._store.list(ObjectKind.QUARANTINE).objects)
 
-    def take(self, objects: list[PlatformObject]) -> None:
-        """Take over what objects of the store tell; called by any thread."""
+    def merge_objects(self, objects: list[PlatformObject]) -> None:
+        """Merge the cases in objects of the store; any thread may call it."""
         now = self._unix_time()
         cases = []
         for item in objects:
@@ -234,15 +237,15 @@
             except (ValueError, msgspec.ValidationError) as error:
                 self._log.warning('case.unreadable', digest=item.name, detail=str(error))
         if cases:
-            self._decider.ask(HearCases(tuple(cases))).result()
+            self._decider.query(ReceiveCases(tuple(cases))).result()
             self._log.info('cases.read', cases=len(cases))
 
     def _read_one(self, request: str) -> None:
         try:
-            held = self._store.get(ObjectKind.QUARANTINE, request)
+            stored = self._store.get(ObjectKind.QUARANTINE, request)
         except PlatformNotFound:
             return
-        self.take([held])
+        self.merge_objects([stored])
 
     def _write(self, request: str) -> None:
         case = self._case(request)
@@ -253,31 +256,31 @@
             self._store.put(ObjectKind.QUARANTINE, to_object(case, self._unix_time()))
             return
         except PlatformConflict:
-            held = self._store.get(ObjectKind.QUARANTINE, request)
-        # The next write must not lose what another box wrote.
-        self.take([held])
+            stored = self._store.get(ObjectKind.QUARANTINE, request)
+        # Merge first: the next write must not lose what another box wrote.
+        self.merge_objects([stored])
         case = self._case(request)
         if case is None:
-            # Dropped meanwhile for others'; the store has what another box wrote.
+            # Dropped meanwhile to make room; the store keeps what another box wrote.
             return
-        item = to_object(case, self._unix_time(), held.version)
-        if not _tells_as_much(held, case):
+        item = to_object(case, self._unix_time(), stored.version)
+        if not _contains_case(stored, case):
             self._store.put(ObjectKind.QUARANTINE, item)
 
     def _may_write(self, case: Case) -> bool:
         return len(case.ends) >= SUSPECT_ENDS or self._first_ends.take(1, boot_seconds())
 
     def _case(self, request: str) -> Case | None:
-        return self._decider.ask(WantCase(request)).result()
+        return self._decider.query(GetCase(request)).result()
 
 
-def _tells_as_much(held: PlatformObject, case: Case) -> bool:
-    """Whether the store already has all that `case` tells."""
+def _contains_case(stored: PlatformObject, case: Case) -> bool:
+    """Whether the stored object already contains all ends and clears of `case`."""
     try:
-        told = from_object(held, 0.0)
+        stored_case = from_object(stored, 0.0)
     except (ValueError, msgspec.ValidationError):
         return False
-    known = {(end.engine, end.on_trial) for end in told.ends}
-    return told.clears >= case.clears and all(
-        (end.engine, end.on_trial) in known for end in case.ends
+    stored_ends = {(end.engine, end.on_trial) for end in stored_case.ends}
+    return stored_case.clears >= case.clears and all(
+        (end.engine, end.on_trial) in stored_ends for end in case.ends
     )
--- a/packages/router/seamhold/engines.py
+++ b/packages/router/seamhold/engines.py
@@ -1,4 +1,4 @@
-"""One attempt at an engine over urllib3: what was sent and how it ended."""
+"""Sends one attempt to an engine over urllib3, and classifies how it ended."""
 
 from collections.abc import Iterator
 
@@ -17,7 +17,7 @@
 
 from .ports import AttemptFailed, Cancellation, EngineLoad, EngineRequest
 from .probing import refuses_connections, was_refused
-from .streams import StreamWatch
+from .streams import EventStreamCheck
 
 REQUEST_ID_HEADER = 'X-Request-Id'
 RAN_HEADER = 'X-Ran'
@@ -26,7 +26,7 @@
 LEAVING_REASON = 'leaving'
 FULL_REASON = 'busy'
 CONNECT_SECONDS = 1.0
-#: The longest pause inside an answer that has begun.
+#: Maximum pause inside an answer that has begun, in seconds.
 STALL_SECONDS = 30.0
 READ_BYTES = 64 * 1024
 CONNECTIONS_PER_ENGINE = 64
@@ -34,17 +34,17 @@
 
 
 class EngineAnswer:
-    """An answer that has begun: status, headers and the bytes to come."""
+    """An answer that has begun: status, headers and the rest of the body."""
 
     def __init__(self, response: urllib3.BaseHTTPResponse):
         self._response = response
         self.status = response.status
         self.headers = response.headers
-        #: These servers tell nothing of their load.
+        #: These servers do not report their load.
         self.load: EngineLoad | None = None
 
     def chunks(self) -> Iterator[bytes]:
-        """The body as it comes; raises AttemptFailed if it is cut."""
+        """Yield the body as it arrives; raises AttemptFailed if it is cut."""
         try:
             while data := self._response.read1(READ_BYTES):
                 yield data
@@ -54,19 +54,22 @@
             raise AttemptFailed(Outcome.BROKEN, AnswerCut(f'cut: {error}')) from error
 
     def whole(self) -> bytes:
-        """The complete body; raises AttemptFailed if it is cut."""
+        """Return the complete body; raises AttemptFailed if it is cut."""
         return b''.join(self.chunks())
 
     def close(self) -> None:
-        """Let go: a body read to its end frees its connection for others,
-        anything less drops it, which cancels the call at the engine."""
+        """Release the answer.
+
+        After a body that was read to its end the connection is reused; otherwise it is
+        closed, which cancels the call at the engine.
+        """
         if not self._response.isclosed():
             self._response.close()
         self._response.release_conn()
 
 
 class EngineClient:
-    """Sends requests to engines, with bounded pools and times."""
+    """Sends requests to engines, with bounded connection pools and timeouts."""
 
     def __init__(self):
         self._pools = urllib3.PoolManager(
@@ -75,14 +78,14 @@
             retries=False,
         )
 
-    def stream_check(self, request: EngineRequest) -> StreamWatch:
-        """What watches over a stream that answers `request`."""
-        return StreamWatch(request.request_id)
+    def stream_check(self, request: EngineRequest) -> EventStreamCheck:
+        """Return a check for a stream that answers `request`."""
+        return EventStreamCheck(request.request_id)
 
     def open(
         self, placed: Placed, request: EngineRequest, remaining: float, _: Cancellation
     ) -> EngineAnswer:
-        """Send the request and wait for the head of the answer.
+        """Send the request and return when the head of the answer has arrived.
 
         `remaining` is in seconds.  Raises AttemptFailed.
         """
@@ -102,18 +105,18 @@
                 decode_content=False,
             )
         except urllib3.exceptions.HTTPError as error:
-            raise self._failure(error) from error
+            raise self._connection_failure(error) from error
         self._set_stall_timeout(response, remaining)
-        return self._checked(response, request)
+        return self._check_answer(response, request)
 
     @staticmethod
-    def _failure(error: Exception) -> AttemptFailed:
+    def _connection_failure(error: Exception) -> AttemptFailed:
         if isinstance(
             error, (urllib3.exceptions.NewConnectionError, urllib3.exceptions.ConnectTimeoutError)
         ):
             unreachable = EngineUnreachable('no connection')
             refused = was_refused(error)
-            return AttemptFailed(Outcome.NOT_SENT, unreachable, nobody_listens=refused)
+            return AttemptFailed(Outcome.NOT_SENT, unreachable, connection_refused=refused)
         if isinstance(error, urllib3.exceptions.TimeoutError):
             return AttemptFailed(Outcome.FAILED, AnswerTimeout('no answer in time'))
         return AttemptFailed(Outcome.FAILED, EngineFailed('the connection broke'))
@@ -124,16 +127,16 @@
         if connection is not None and connection.sock is not None:
             connection.sock.settimeout(min(STALL_SECONDS, remaining))
 
-    def _checked(self, response, request: EngineRequest) -> EngineAnswer:
+    def _check_answer(self, response, request: EngineRequest) -> EngineAnswer:
         answer = EngineAnswer(response)
-        failed = self._refusal(answer, request)
+        failed = self._answer_failure(answer, request)
         if failed is not None:
             answer.close()
             raise failed
         return answer
 
     @staticmethod
-    def _refusal(answer: EngineAnswer, request: EngineRequest) -> AttemptFailed | None:
+    def _answer_failure(answer: EngineAnswer, request: EngineRequest) -> AttemptFailed | None:
         status, headers = answer.status, answer.headers
         if status in (429, 503) and headers.get(RAN_HEADER) == 'no':
             reason = headers.get(REASON_HEADER, '')
@@ -151,9 +154,9 @@
         return None
 
     def has_ended(self, placed: Placed) -> bool:
-        """Whether the server's process ended, as far as a connection tells."""
+        """Whether the server's process has ended, judged by a connection attempt."""
         return refuses_connections(placed.address)
 
     def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         self._pools.clear()
--- /dev/null
+++ b/packages/router/seamhold/settings_task.py
@@ -0,0 +1,109 @@
+"""The task that owns the settings in force on this box.
+
+Versions come from the platform or from peers, in any order; the state machine in
+`seamhold_settings.versions` decides which one applies.  Other tasks read an immutable
+snapshot, which is replaced as a whole.
+"""
+
+import threading
+from collections.abc import Callable
+
+from msgspec import Struct
+
+from seamhold_settings import ActiveSettings, Candidate, OfferResult, Tree
+
+from .metrics import Metrics
+from .tasks import Query, Task
+
+#: Maximum wait for the reply to an offer, in seconds.
+OFFER_SECONDS = 5.0
+
+
+class SettingsSnapshot(Struct, frozen=True):
+    """The settings in force, and the values by which peers compare them."""
+
+    tree: Tree
+    total: int
+    fingerprint: int
+    ready: bool
+
+
+class OfferSettings(Query):
+    """Offers versions from the platform or a peer; the reply is an OfferResult for each."""
+
+    candidates: list[Candidate]
+    source: str
+
+
+class GetNewerSettings(Query):
+    """Asks for the objects that are newer than the given revisions."""
+
+    revisions: dict[str, int]
+
+
+class GetRevisions(Query):
+    """Asks for the revision of every object in force."""
+
+
+class SettingsReport(Struct, frozen=True):
+    """The settings' part of the status page."""
+
+    revisions: dict[str, int]
+    edits: dict[str, str]
+    rejected: dict[str, str]
+
+
+class GetSettingsReport(Query):
+    """Asks for a SettingsReport."""
+
+
+class SettingsTask(Task):
+    """Owns the settings in force; calls `on_change` with the tree after each change."""
+
+    name = 'settings'
+
+    def __init__(self, metrics: Metrics, on_change: Callable[[Tree], None]):
+        super().__init__()
+        self._state = ActiveSettings()
+        self._metrics = metrics
+        self._on_change = on_change
+        self.ready = threading.Event()
+        self.snapshot = self._make_snapshot()
+        self.handlers = {
+            OfferSettings: self._offer,
+            GetNewerSettings: lambda message: self._state.newer_than(message.revisions),
+            GetRevisions: lambda message: self._state.revisions(),
+            GetSettingsReport: self._report,
+        }
+
+    def _make_snapshot(self) -> SettingsSnapshot:
+        state = self._state
+        return SettingsSnapshot(state.tree, state.revision_sum(), state.fingerprint(), state.ready)
+
+    def _offer(self, message: OfferSettings) -> list[OfferResult]:
+        steps = [self._state.offer(candidate) for candidate in message.candidates]
+        for candidate, step in zip(message.candidates, steps, strict=True):
+            self._log_step(candidate, step, message.source)
+        if OfferResult.TAKEN in steps:
+            self.snapshot = self._make_snapshot()
+            self._on_change(self.snapshot.tree)
+            if self.snapshot.ready:
+                self.ready.set()
+        return steps
+
+    def _log_step(self, candidate: Candidate, step: OfferResult, source: str) -> None:
+        if step is OfferResult.SAME:
+            return
+        self._metrics.count(f'settings.{step}')
+        self.log.info(
+            'settings.offer',
+            step=step,
+            source=source,
+            object=candidate.name,
+            revision=candidate.revision,
+            edit=candidate.edit_id,
+        )
+
+    def _report(self, _: GetSettingsReport) -> SettingsReport:
+        edits = {name: held.edit_id for name, held in self._state.objects.items()}
+        return SettingsReport(self._state.revisions(), edits, dict(self._state.rejected))
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from seamhold.claims import WRITES_PER_SECOND, ClaimWriter, ReleaseClaim, WantClaim
+from seamhold.claims import WRITES_PER_SECOND, AcquireClaim, ClaimWriter, ReleaseClaim
 from seamhold.context import Environment
 from seamhold.metrics import Metrics
 from seamhold_attempts import (
@@ -27,7 +27,7 @@
     TicketsFull,
     TicketUnknown,
 )
-from seamhold_peers import ClaimAsk
+from seamhold_peers import ClaimRequest
 from seamhold_platform import ObjectKind, PlatformClient
 from seamhold_settings.schema import Control
 from standins.platform import Platform
@@ -149,8 +149,8 @@
         return writer
 
     def claim(self, writer, key, owner, wait=2.0, bucket=0):
-        request = ClaimAsk(bucket, key, owner, 'body', wait)
-        return writer.ask(WantClaim(request))
+        request = ClaimRequest(bucket, key, owner, 'body', wait)
+        return writer.query(AcquireClaim(request))
 
     def test_many_claims_share_few_writes(self):
         replies = [self.claim(self.writer, f'k{number}', f'o{number}') for number in range(200)]
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -11,7 +11,7 @@
 
 from seamhold.case_store import from_object, to_object
 from seamhold.decider import Decider
-from seamhold.decisions import WantReport
+from seamhold.decisions import GetReport
 from seamhold.metrics import Metrics
 from seamhold.peer_pulls import PeerPulls
 from seamhold_membership import Digest
@@ -218,9 +218,9 @@
     def setUp(self):
         super().setUp()
         self.decider = Decider(Router('box-1', 'a'), lambda: 0.0)
-        self.decider.cases.known.clear()
+        self.decider.cases.loaded.clear()
         self.blocked, self.released = threading.Event(), threading.Event()
-        self.decider.handlers[WantReport] = self.block_decider
+        self.decider.handlers[GetReport] = self.block_decider
         self.pulls = PeerPulls(self.decider, None, Metrics(), random.Random(1), lambda: True)
 
     def block_decider(self, _) -> None:
@@ -230,18 +230,18 @@
     def test_a_pull_ends_when_its_cases_are_merged(self):
         # Guards against a pull that ends while its cases still wait for the decider, which another
         # thread occupies: a copy of the request that waits for the pull could then still run.
-        blocker = threading.Thread(target=self.decider.ask, args=(WantReport(),))
+        blocker = threading.Thread(target=self.decider.query, args=(GetReport(),))
         blocker.start()
         self.assertTrue(self.blocked.wait(WAIT_SECONDS))
         asyncio.run(self.pull_while_blocked())
         blocker.join()
-        self.assertTrue(self.decider.cases.known.is_set())
+        self.assertTrue(self.decider.cases.loaded.is_set())
         self.assertIn(ASKED.scope, self.decider.cases.scopes)
 
     async def pull_while_blocked(self) -> None:
-        pull = asyncio.create_task(self.pulls.take_cases(PeerWithCases()))
+        pull = asyncio.create_task(self.pulls.pull_cases(PeerWithCases()))
         await asyncio.sleep(PULL_SECONDS)
-        ended_early = pull.done() or self.decider.cases.known.is_set()
+        ended_early = pull.done() or self.decider.cases.loaded.is_set()
         self.released.set()
         await pull
         self.assertFalse(ended_early)
