--- a/tests/test_followers.py
+++ b/tests/test_followers.py
@@ -33,7 +33,7 @@
     def on_answer(self) -> None:
         """Do nothing; no box is informed."""
 
-    def wait_role(self) -> None:
+    def wait_for_role(self) -> None:
         """Return at once; the role is known."""
 
 
@@ -126,12 +126,12 @@
         pauses: list[float] = []
         self.patch(followers, 'ALONE_SECONDS', 0.0)
         self.patch(followers.time, 'sleep', pauses.append)
-        StoreWatch(StartingDecider(names), lambda: True).wait_role()
+        StoreWatch(StartingDecider(names), lambda: True).wait_for_role()
         return pauses
 
     def test_starting_box_with_peers_waits_for_their_heartbeats(self):
         (pause,) = self.pauses(['me', 'other'])
-        self.assertAlmostEqual(followers.ROLE_SECONDS, pause, delta=0.2)
+        self.assertAlmostEqual(followers.ROLE_WAIT_SECONDS, pause, delta=0.2)
 
     def test_box_without_peers_watches_at_once(self):
         self.assertEqual([], self.pauses(['me']))
