--- a/scenarios/steps/call_steps.py
+++ b/scenarios/steps/call_steps.py
@@ -32,26 +32,26 @@
 
 @step('an engine has begun call "{mark}"')
 def begun(context, mark):
-    wait_until(lambda: context.world.begun(mark), what=f'an engine to begin {mark}')
+    wait_until(lambda: context.world.begun(mark), description=f'an engine to begin {mark}')
 
 
 @step('an engine took call "{mark}"')
 def taken(context, mark):
-    wait_until(lambda: context.world.ran(mark), what=f'an engine to take {mark}')
+    wait_until(lambda: context.world.ran(mark), description=f'an engine to take {mark}')
 
 
 @step('call "{name}" waits in the queue of "{box}"')
 def queued(context, name, box):
     fleet = context.world.fleet
     running = len(context.world.ran(name))
-    wait_until(lambda: fleet.status(box)['in_flight'] > 0, what=f'{name} to wait')
+    wait_until(lambda: fleet.status(box)['in_flight'] > 0, description=f'{name} to wait')
     assert running == 0, f'{name} runs already'
 
 
 @step('the caller of "{name}" leaves')
 def leave(context, name):
     sent = context.world.calls[name]
-    wait_until(lambda: sent.response is not None, what=f'{name} to be answered')
+    wait_until(lambda: sent.response is not None, description=f'{name} to be answered')
     sent.response.connection.sock.shutdown(2)
 
 
@@ -124,5 +124,5 @@
 def cancelled(context, mark):
     wait_until(
         lambda: any(row['state'] == 'cancelled' for row in context.world.ran(mark)),
-        what=f'{mark} to be cancelled',
+        description=f'{mark} to be cancelled',
     )
--- a/scenarios/steps/fleet_steps.py
+++ b/scenarios/steps/fleet_steps.py
@@ -110,4 +110,4 @@
         peers = {peer['name']: peer['incarnation'] for peer in fleet.status(box)['boxes']}
         return peers.get(other) == current
 
-    wait_until(heard, what=f'{box} to hear {other}')
+    wait_until(heard, description=f'{box} to hear {other}')
--- a/scenarios/steps/leaving_steps.py
+++ b/scenarios/steps/leaving_steps.py
@@ -76,7 +76,7 @@
 def call_on(context, count):
     context.world.load = Load(context.world, count)
     context.world.load.start()
-    wait_until(lambda: len(context.world.load.done) > count, what='the callers to begin')
+    wait_until(lambda: len(context.world.load.done) > count, description='the callers to begin')
 
 
 @when('each box is restarted in turn')
--- a/scenarios/world.py
+++ b/scenarios/world.py
@@ -91,8 +91,8 @@
         for name in names:
             self.fleet.start_box(name, wait=False)
         for name in names:
-            wait_until(lambda name=name: self.fleet.ready(name), what=f'{name} to be ready')
-        wait_until(lambda: all(self.knows_all(name, boxes) for name in names), what='peers')
+            wait_until(lambda name=name: self.fleet.ready(name), description=f'{name} to be ready')
+        wait_until(lambda: all(self.knows_all(name, boxes) for name in names), description='peers')
 
     def knows_all(self, box: str, boxes: int) -> bool:
         """Whether a box has heard every other one."""
--- a/standins/standins/demo.py
+++ b/standins/standins/demo.py
@@ -1,8 +1,8 @@
-"""A guided run of the whole path; `python -m standins.demo`.
+"""Demonstrates the whole request path; run it with `python -m standins.demo`.
 
-Starts everything on loopback, holds a chat through two boxes, and shows for
-each turn which engine served it, what was reused and why.  Leaves with 1 and
-a plain message if any step fails.
+Starts all processes on loopback, runs a chat through two boxes, and prints for
+each turn the engine that served it, the reason, and the prompt tokens reused.
+Exits with status 1 and an error message if a step fails.
 """
 
 import argparse
@@ -27,49 +27,49 @@
     'Make the shopping list shorter.',
 )
 ENGINES = 3
-#: What a shell expects of a program that was interrupted.
+#: The exit status that shells expect of an interrupted program.
 CTRL_C = 130
 BOXES = ('box-1', 'box-2')
 
 
-def expect(condition: bool, what: str) -> None:
-    """Fail the demo with a plain message."""
+def expect(condition: bool, message: str) -> None:
+    """Raise FleetError with `message` unless the condition holds."""
     if not condition:
-        raise FleetError(what)
+        raise FleetError(message)
 
 
-def say(text: str = '') -> None:
-    """One line for the person who watches."""
+def print_line(text: str = '') -> None:
+    """Print one line of progress."""
     print(text, flush=True)
 
 
 @dataclass
 class Reply:
-    """What a caller got."""
+    """The response to one call."""
 
     status: int
     headers: dict
     body: bytes
 
     def json(self) -> dict:
-        """The body as JSON."""
+        """Return the body parsed as JSON."""
         return json.loads(self.body)
 
     def events(self) -> list[dict]:
-        """The body's events, without the last one that says it is whole."""
+        """Return the body's events, without the final `[DONE]` marker."""
         lines = [line for line in self.body.decode().splitlines() if line.startswith('data: {')]
         return [json.loads(line.removeprefix('data: ')) for line in lines]
 
 
 class Caller:
-    """Calls a box as a client would."""
+    """A client of the boxes, using one workspace's key."""
 
     def __init__(self, fleet: LocalFleet, key: str = KEY):
         self._fleet = fleet
         self._key = key
 
     def call(self, box: str, path: str, body: dict | None = None, **headers: str) -> Reply:
-        """POST `body`, or GET without one."""
+        """Send a POST with `body`, or a GET if there is none."""
         answer = self._fleet.http.request(
             'GET' if body is None else 'POST',
             self._fleet.processes[box].url + path,
@@ -79,7 +79,7 @@
         return Reply(answer.status, dict(answer.headers), answer.data)
 
     def chat(self, box: str, messages: list[dict], stream: bool, **headers: str) -> Reply:
-        """One turn of a chat."""
+        """Send one turn of a chat."""
         body = {
             'model': MODEL,
             'messages': messages,
@@ -91,7 +91,7 @@
 
 
 def start(fleet: LocalFleet) -> None:
-    """Stand-ins, settings and boxes."""
+    """Start the stand-ins, apply the settings and start the boxes."""
     fleet.start_platform()
     for number in range(1, ENGINES + 1):
         fleet.start_engine(f'engine-{number}', 'recipes')
@@ -102,8 +102,8 @@
 
 
 def show_chat(fleet: LocalFleet) -> None:
-    """Turns through both boxes, streamed and not."""
-    say('A chat of four turns, through both boxes:')
+    """Send the chat's turns through both boxes, streamed and not."""
+    print_line('A chat of four turns, through both boxes:')
     caller = Caller(fleet)
     messages: list[dict] = []
     for number, text in enumerate(TURNS):
@@ -113,8 +113,8 @@
         expect(reply.status == 200, f'turn {number + 1}: {reply.status} {reply.body!r}')
         if stream:
             events = reply.events()
-            words = [event['choices'][0]['delta'].get('content', '') for event in events]
-            answer, usage = ''.join(words), events[-1]['usage']
+            deltas = [event['choices'][0]['delta'].get('content', '') for event in events]
+            answer, usage = ''.join(deltas), events[-1]['usage']
             expect(b'data: [DONE]' in reply.body, 'the stream did not end')
         else:
             answer = reply.json()['choices'][0]['message']['content']
@@ -124,86 +124,88 @@
 
 
 def show_turn(number: int, box: str, stream: bool, reply: Reply, usage: dict) -> None:
-    """Which engine served a turn, what was reused, and why."""
+    """Print which engine served a turn, why, and how many tokens were reused."""
     engine, _, rank = reply.headers['Seamhold-Served-By'].partition('; rank=')
     reused = usage['prompt_tokens_details']['cached_tokens']
-    way = 'streamed' if stream else 'whole'
-    why = 'first for this chat' if rank == '0' else f'number {int(rank) + 1} for this chat'
-    say(
-        f'  turn {number + 1}  {box}  {way:8}  {engine} ({why}), '
+    delivery = 'streamed' if stream else 'whole'
+    reason = 'first for this chat' if rank == '0' else f'number {int(rank) + 1} for this chat'
+    print_line(
+        f'  turn {number + 1}  {box}  {delivery:8}  {engine} ({reason}), '
         f'{reused} of {usage["prompt_tokens"]} prompt tokens reused'
     )
     if number:
-        expect(reused > 0, 'a returning chat reused nothing')
+        expect(reused > 0, 'a later turn of the chat reused no prompt tokens')
 
 
 def show_service(fleet: LocalFleet) -> None:
-    """A call to a plain service."""
+    """Call a plain service."""
     reply = Caller(fleet).call('box-1', '/services/pantry/stock?item=vinegar')
-    expect(reply.status == 200, f'the pantry answered {reply.status}')
-    say(f'The pantry, a plain service: {reply.json()["path"]} answered {reply.status}')
+    expect(reply.status == 200, f'the pantry returned {reply.status}')
+    print_line(f'The pantry, a plain service: {reply.json()["path"]} answered {reply.status}')
 
 
 def show_refusal(fleet: LocalFleet) -> None:
-    """A workspace may not use what it was not given."""
+    """Show that a workspace cannot use a service it has no access to."""
     reply = Caller(fleet, OTHER_KEY).call('box-2', '/services/pantry/stock')
-    expect(reply.status == 404, f'another workspace got {reply.status}')
+    expect(reply.status == 404, f'a call of another workspace returned {reply.status}')
     problem = reply.json()
-    say(f'Refused: {problem["code"]} (ran: {problem["ran"]}): {problem["detail"]}')
+    print_line(f'Refused: {problem["code"]} (ran: {problem["ran"]}): {problem["detail"]}')
 
 
 def show_once(fleet: LocalFleet) -> None:
-    """A ticketed call that is sent twice runs once."""
+    """Show that a ticketed call that is sent twice runs once."""
     caller = Caller(fleet)
     ticket = caller.call('box-1', '/v1/tickets', {}).json()['tickets'][0]
     messages = [{'role': 'user', 'content': 'No vinegar left: what instead?'}]
-    marks = {'Seamhold-Ticket': ticket, 'Seamhold-Route': 'substitution'}
+    request_headers = {'Seamhold-Ticket': ticket, 'Seamhold-Route': 'substitution'}
     before = len(fleet.ledgers())
-    first = caller.chat('box-2', messages, False, **marks)
-    again = caller.chat('box-1', messages, False, **marks)
+    first = caller.chat('box-2', messages, False, **request_headers)
+    repeated = caller.chat('box-1', messages, False, **request_headers)
     ran = len(fleet.ledgers()) - before
-    expect(first.status == 200, f'the ticketed call got {first.status} {first.body!r}')
-    expect(again.status == 409, f'the repeat got {again.status}')
+    expect(first.status == 200, f'the ticketed call returned {first.status} {first.body!r}')
+    expect(repeated.status == 409, f'the repeated call returned {repeated.status}')
     expect(ran == 1, f'the ticketed call ran {ran} times')
-    problem = again.json()
-    say(
+    problem = repeated.json()
+    print_line(
         f'A ticket of box-1, used through box-2, then again: {first.status}, '
         f'then {problem["code"]} (ran: {problem["ran"]}); the engines ran it {ran} time'
     )
 
 
 def stop(fleet: LocalFleet) -> None:
-    """A planned stop of each box."""
+    """Stop each box gracefully."""
     for box in BOXES:
         status = fleet.terminate(box)
-        expect(status == 0, f'{box} left with {status}: {fleet.log_of(box)}')
-    say('Both boxes stopped in good order.')
+        expect(status == 0, f'{box} exited with status {status}: {fleet.log_of(box)}')
+    print_line('Both boxes stopped cleanly.')
 
 
 def run_demo() -> None:
-    """All steps, in order."""
-    began = time.monotonic()
+    """Run all steps in order."""
+    started = time.monotonic()
     with LocalFleet() as fleet:
-        say(f'Starting a platform, {ENGINES} engines, a plain service and {len(BOXES)} boxes ...')
+        print_line(
+            f'Starting a platform, {ENGINES} engines, a plain service and {len(BOXES)} boxes ...'
+        )
         start(fleet)
         show_chat(fleet)
         show_service(fleet)
         show_refusal(fleet)
         show_once(fleet)
         stop(fleet)
-    say(f'Everything worked, in {time.monotonic() - began:.1f} s.')
+    print_line(f'Everything worked, in {time.monotonic() - started:.1f} s.')
 
 
 def run_up() -> None:
-    """Keep the set running until Ctrl-C."""
+    """Keep all processes running until Ctrl-C."""
     with LocalFleet() as fleet:
         start(fleet)
-        say('Running; Ctrl-C stops everything.')
+        print_line('Running; Ctrl-C stops everything.')
         for process in fleet.processes.values():
             operators = f'  operators {process.operator_url}' if process.kind == 'box' else ''
-            say(f'  {process.name:10} {process.url}{operators}')
-        say(f'Key of workspace kusina: {KEY}')
-        say(
+            print_line(f'  {process.name:10} {process.url}{operators}')
+        print_line(f'Key of workspace kusina: {KEY}')
+        print_line(
             f'  curl {fleet.processes["box-1"].url}/v1/chat/completions '
             f"-H 'Authorization: Bearer {KEY}' "
             f'-d \'{{"model": "{MODEL}", "messages": [{{"role": "user", "content": "hi"}}]}}\''
@@ -211,13 +213,13 @@
         try:
             while all(process.alive for process in fleet.processes.values()):
                 time.sleep(0.5)
-            raise FleetError('a process ended by itself')
+            raise FleetError('a process exited unexpectedly')
         except KeyboardInterrupt:
-            say('Stopping.')
+            print_line('Stopping.')
 
 
 def main() -> None:
-    """Run the demo, or keep the set up."""
+    """Run the demo, or keep the processes running with --up."""
     parser = argparse.ArgumentParser(description='seamhold on loopback')
     parser.add_argument('--up', action='store_true', help='keep running until Ctrl-C')
     options = parser.parse_args()
@@ -227,7 +229,7 @@
         print(f'The demo failed: {error}', file=sys.stderr)
         sys.exit(1)
     except KeyboardInterrupt:
-        say('Stopped.')
+        print_line('Stopped.')
         sys.exit(CTRL_C)
 
 
--- a/standins/standins/engine.py
+++ b/standins/standins/engine.py
@@ -1,8 +1,8 @@
-"""A stand-in for a model engine: deterministic answers, a prefix cache, a ledger.
+"""A stand-in for a model engine with deterministic answers, a prefix cache and a ledger.
 
-The text of an answer depends on the request alone, so that a stream can be
-resumed at another engine.  The ledger says what the engine ran, and is what
-proofs read.  Faults are switched on over HTTP.
+The text of an answer depends only on the request, so another engine can resume
+a stream.  The ledger records the requests that the engine ran; tests check
+at-most-once execution against it.  Faults are injected over HTTP.
 """
 
 import argparse
@@ -23,9 +23,9 @@
 
 @dataclass(frozen=True)
 class EngineFaults:
-    """What can go wrong; times in seconds.
+    """The faults that can be injected; times in seconds.
 
-    A request whose last message is `ends_on` ends the whole process.
+    A request whose last message is `ends_on` terminates the process.
     """
 
     first_token_seconds: float = 0.0
@@ -43,7 +43,7 @@
 
 @dataclass
 class LedgerRow:
-    """One request that the engine began to run."""
+    """One request that the engine started to run."""
 
     request_id: str
     body_hash: str
@@ -53,18 +53,18 @@
 
 
 class PrefixCache:
-    """Prompt prefixes by salt, the least recently used thrown out first."""
+    """An LRU cache of prompt prefixes, separated by salt; sizes in tokens."""
 
-    def __init__(self, tokens_max: int):
-        self.tokens_max = tokens_max
+    def __init__(self, max_tokens: int):
+        self.max_tokens = max_tokens
         self._sizes: OrderedDict[str, int] = OrderedDict()
-        self._held = 0
+        self._size = 0
 
-    def reuse(self, salt: str, messages: list[dict]) -> tuple[int, int]:
-        """Tokens of the prompt, and how many of them were cached."""
+    def count_and_cache(self, salt: str, messages: list[dict]) -> tuple[int, int]:
+        """Cache the prompt and return its tokens and how many of them were cached before."""
         digest = hashlib.sha256(salt.encode())
         total = cached = 0
-        unbroken = True
+        contiguous = True
         for message in messages:
             text = json.dumps(message, sort_keys=True)
             digest.update(text.encode())
@@ -74,19 +74,19 @@
             if key in self._sizes:
                 self._sizes.move_to_end(key)
             else:
-                unbroken = False
+                contiguous = False
                 self._sizes[key] = size
-                self._held += size
-            if unbroken:
+                self._size += size
+            if contiguous:
                 cached += size
-        while self._held > self.tokens_max:
+        while self._size > self.max_tokens:
             _, size = self._sizes.popitem(last=False)
-            self._held -= size
+            self._size -= size
         return total, cached
 
 
-def streamed_words(body: bytes) -> str:
-    """The words of an answer that came as events, as its caller puts them together."""
+def join_stream_text(body: bytes) -> str:
+    """Return the text of a streamed answer, joined from its events."""
     words = []
     for line in body.decode().splitlines():
         if line.startswith('data: {"id"'):
@@ -97,7 +97,7 @@
 
 @dataclass
 class Job:
-    """One request as the engine runs it."""
+    """A request and its precomputed answer."""
 
     request_id: str
     answer_id: str
@@ -107,16 +107,16 @@
     cached_tokens: int
     row: LedgerRow
     offset: int = 0
-    #: What the last message says.
-    asked: str = ''
+    #: Content of the request's last message.
+    last_message: str = ''
 
     def event(self, word: str) -> bytes:
-        """One token as a server-sent event."""
+        """Return one token as a server-sent event."""
         choice = {'index': 0, 'delta': {'content': word}, 'finish_reason': None}
         return self._sse({'choices': [choice]})
 
-    def last_event(self) -> bytes:
-        """The event that tells why the answer ended, and its use."""
+    def final_event(self) -> bytes:
+        """Return the event with the finish reason and the token usage."""
         choice = {'index': 0, 'delta': {}, 'finish_reason': 'stop'}
         return self._sse({'choices': [choice], 'usage': self.usage()})
 
@@ -129,8 +129,8 @@
         } | extra
         return b'data: ' + json.dumps(value).encode() + b'\n\n'
 
-    def whole(self) -> dict:
-        """The answer that is not streamed."""
+    def completion(self) -> dict:
+        """Return the response body of a call that is not streamed."""
         message = {'role': 'assistant', 'content': ''.join(self.words)}
         return {
             'id': f'chatcmpl-{self.answer_id}',
@@ -142,7 +142,7 @@
         }
 
     def usage(self) -> dict:
-        """Tokens read, written and reused."""
+        """Return the token counts: prompt, completion and cached."""
         return {
             'prompt_tokens': self.prompt_tokens,
             'completion_tokens': len(self.words),
@@ -152,10 +152,10 @@
 
 
 class EngineHandler(Handler):
-    """Chat completions, the load report, and the stand-in's own pages."""
+    """Serves chat completions, the load report and the control endpoints."""
 
     def do_GET(self):
-        """Models, load, or the stand-in's own pages."""
+        """Serve the load report or a control endpoint."""
         if self.handle_fault_request():
             return
         if self.path == '/load':
@@ -163,7 +163,7 @@
         elif self.path == '/standin/ledger':
             self.send_json(200, self.server.ledger_rows())
         else:
-            self.send_json(404, {'error': {'message': 'no such page'}})
+            self.send_json(404, {'error': {'message': 'no such endpoint'}})
 
     def do_POST(self):
         """Run a chat completion."""
@@ -171,7 +171,7 @@
             return
         body = self.read_body()
         faults = self.server.faults
-        if faults.refuse or faults.leaving or not self.server.enter():
+        if faults.refuse or faults.leaving or not self.server.acquire_slot():
             reason = 'leaving' if faults.leaving else 'busy'
             self.server.refused += 1
             self.send_json(503, {'error': {'code': reason}}, X_Ran='no', X_Reason=reason)
@@ -179,16 +179,16 @@
         try:
             self._run(body, faults)
         finally:
-            self.server.leave()
+            self.server.release_slot()
 
     def _run(self, body: bytes, faults: EngineFaults) -> None:
-        job = self.server.job(body, self.headers, faults)
+        job = self.server.create_job(body, self.headers, faults)
         if faults.fail_500:
             job.row.state = 'failed'
-            self.send_json(500, {'error': {'message': 'the engine broke'}})
+            self.send_json(500, {'error': {'message': 'the engine failed'}})
             return
         time.sleep(faults.first_token_seconds)
-        if faults.ends_on and job.asked == faults.ends_on:
+        if faults.ends_on and job.last_message == faults.ends_on:
             os._exit(1)
         if faults.die_before_first:
             job.row.state = 'broken'
@@ -210,7 +210,7 @@
                 return
             time.sleep(faults.token_seconds)
             job.row.tokens += 1
-        self.send_json(200, job.whole(), X_Request_Id=job.answer_id)
+        self.send_json(200, job.completion(), X_Request_Id=job.answer_id)
         job.row.state = 'done'
 
     def _stream(self, job: Job, faults: EngineFaults) -> None:
@@ -224,7 +224,7 @@
             time.sleep(faults.token_seconds)
             self.send_chunk(job.event(word))
             job.row.tokens += 1
-        self.send_chunk(job.last_event())
+        self.send_chunk(job.final_event())
         if not faults.end_without_done:
             self.send_chunk(b'data: [DONE]\n\n')
         self.send_chunk(b'')
@@ -238,7 +238,7 @@
 
 
 class Engine(StandIn):
-    """The stand-in's server; `slots` calls run at once."""
+    """The engine's server; at most `slots` calls run at once."""
 
     def __init__(
         self,
@@ -255,26 +255,26 @@
         self.cache = PrefixCache(cache)
         self.ledger: list[LedgerRow] = []
         self.load = _Load()
-        self.most_running = 0
+        self.max_running = 0
         self.refused = 0
         self._counter = threading.Lock()
 
-    def enter(self) -> bool:
-        """Take a slot if one is free."""
+    def acquire_slot(self) -> bool:
+        """Take a slot; return False if none is free."""
         with self._counter:
             if self.load.running >= self.slots:
                 return False
             self.load.running += 1
-            self.most_running = max(self.most_running, self.load.running)
+            self.max_running = max(self.max_running, self.load.running)
             return True
 
-    def leave(self) -> None:
-        """Give a slot back."""
+    def release_slot(self) -> None:
+        """Free a slot."""
         with self._counter:
             self.load.running -= 1
 
     def load_report(self) -> dict:
-        """Calls that run, as seen `report_lag` seconds ago."""
+        """Return the load as it was `report_lag` seconds ago."""
         now = time.monotonic()
         reports = self.load.reports
         reports.append((now, self.load.running))
@@ -283,23 +283,23 @@
         return {
             'running': reports[0][1],
             'slots': self.slots,
-            'most_running': self.most_running,
+            'most_running': self.max_running,
             'refused': self.refused,
         }
 
     def ledger_rows(self) -> list[dict]:
-        """What the engine ran, in the order it began."""
+        """Return the requests that the engine ran, in the order of their start."""
         return [row.__dict__ for row in self.ledger]
 
-    def _note(self, row: LedgerRow) -> None:
-        """Write down what begins, for whoever reads after this process was killed."""
+    def _append_to_ledger_file(self, row: LedgerRow) -> None:
+        """Append the request to the ledger file, which outlives a killed process."""
         if self._ledger_file:
             line = json.dumps({'mark': row.mark, 'at': time.time()})
             with open(self._ledger_file, 'a', encoding='utf-8') as file:
                 file.write(line + '\n')
 
-    def job(self, body: bytes, headers, faults: EngineFaults) -> Job:
-        """Note the request in the ledger and work out its answer."""
+    def create_job(self, body: bytes, headers, faults: EngineFaults) -> Job:
+        """Record the request in the ledger and compute its answer."""
         request = json.loads(body)
         request_id = headers.get('X-Request-Id', '')
         row = LedgerRow(
@@ -307,20 +307,20 @@
         )
         with self.lock:
             self.ledger.append(row)
-            self._note(row)
-            prompt, cached = self.cache.reuse(
+            self._append_to_ledger_file(row)
+            prompt, cached = self.cache.count_and_cache(
                 request.get('cache_salt', ''), request.get('messages', [])
             )
         count = request.get('max_tokens') or request.get('max_completion_tokens') or DEFAULT_TOKENS
         last = request.get('messages', [])[-1:]
-        said = json.dumps(last)
-        seed = hashlib.sha256(said.encode()).hexdigest()[:6]
+        last_json = json.dumps(last)
+        seed = hashlib.sha256(last_json.encode()).hexdigest()[:6]
         words = [f'{seed}-{number} ' for number in range(count)]
         answer_id = faults.wrong_id or request_id
         offset = int(headers.get('X-Resume-Offset') or 0)
-        asked = str(last[0].get('content', '')) if last else ''
+        last_message = str(last[0].get('content', '')) if last else ''
         model = request.get('model', '')
-        return Job(request_id, answer_id, model, words, prompt, cached, row, offset, asked)
+        return Job(request_id, answer_id, model, words, prompt, cached, row, offset, last_message)
 
 
 def main() -> None:
@@ -330,7 +330,7 @@
     parser.add_argument('--name', default='engine')
     parser.add_argument('--slots', type=int, default=64)
     parser.add_argument('--token-seconds', type=float, default=0.005)
-    parser.add_argument('--ledger', default='', help='file in which to note what begins to run')
+    parser.add_argument('--ledger', default='', help='file to append started requests to')
     options = parser.parse_args()
     server = Engine(options.port, options.name, options.slots, ledger_file=options.ledger)
     server.set_faults({'token_seconds': options.token_seconds})
--- a/standins/standins/fleet.py
+++ b/standins/standins/fleet.py
@@ -1,7 +1,7 @@
-"""A whole set of processes on loopback: stand-ins and boxes.
+"""Runs stand-ins and boxes as processes on loopback.
 
-Used by the demo, the scenarios and the measurements.  Everything it starts
-it also ends, by process id.
+The demo, the scenarios and the measurements use it.  It ends every process
+that it started, by process id.
 """
 
 import fcntl
@@ -27,39 +27,40 @@
 STOP_SECONDS = 15.0
 POLL_SECONDS = 0.05
 PORTS = (15_000, 32_000)
-#: Two sets beside each other took a port from one another between its choice and its use.
+#: Locks reserve ports across processes: without them, two fleets on one machine took a port
+#: from each other between its choice and its use.
 RESERVATIONS = Path(tempfile.gettempdir()) / 'seamhold-ports'
 
-_chance = random.Random()
-_given: set[int] = set()
+_rng = random.Random()
+_allocated: set[int] = set()
 
 
 class FleetError(Exception):
-    """A process of the set did not do what it was started for."""
+    """A process of the fleet failed or did not respond as expected."""
 
 
 def free_port() -> int:
-    """A port that nobody listens on now.
+    """Return a port that no process listens on.
 
-    It lies below the range that outgoing connections use, so that none of
-    them takes it before its process listens, and is given only once: to this
-    process, of all that ask here.
+    The port lies below the ephemeral range, so no outgoing connection takes it
+    before its process listens.  Each port is returned once, and only to one of
+    the processes that call this function.
     """
     while True:
-        port = _chance.randrange(*PORTS)
-        if port in _given or not _reserve(port):
+        port = _rng.randrange(*PORTS)
+        if port in _allocated or not _reserve(port):
             continue
         with socket.socket() as probe:
             try:
                 probe.bind((HOST, port))
             except OSError:
                 continue
-        _given.add(port)
+        _allocated.add(port)
         return port
 
 
 def _reserve(port: int) -> bool:
-    """Whether the port is this process's until it ends: a lock on a byte of a file of all."""
+    """Reserve the port until this process ends, by a lock on one byte of a shared file."""
     try:
         fcntl.lockf(_reservations(), fcntl.LOCK_EX | fcntl.LOCK_NB, 1, port)
     except OSError:
@@ -69,23 +70,23 @@
 
 @cache
 def _reservations() -> IO:
-    """The file, open for as long as this process lives: closing it would free all."""
+    """Open the lock file once; closing it would release all reservations."""
     return RESERVATIONS.open('w')
 
 
-def wait_until(condition, seconds: float = START_SECONDS, what: str = 'condition') -> None:
-    """Poll until `condition()` is true; FleetError after `seconds`."""
-    ends = time.monotonic() + seconds
-    while time.monotonic() < ends:
+def wait_until(condition, seconds: float = START_SECONDS, description: str = 'condition') -> None:
+    """Poll until `condition()` is true; raise FleetError after `seconds`."""
+    deadline = time.monotonic() + seconds
+    while time.monotonic() < deadline:
         if condition():
             return
         time.sleep(POLL_SECONDS)
-    raise FleetError(f'waited {seconds:g} s for {what}')
+    raise FleetError(f'waited {seconds:g} s for {description}')
 
 
 @dataclass
 class Process:
-    """One process of the set; `operator_port` only on boxes."""
+    """One process of the fleet; only boxes have `operator_port` and `peer_port`."""
 
     name: str
     kind: str
@@ -97,22 +98,22 @@
 
     @property
     def url(self) -> str:
-        """Where callers, boxes or tests reach it."""
+        """The URL for callers, boxes and tests."""
         return f'http://{HOST}:{self.port}'
 
     @property
     def operator_url(self) -> str:
-        """Where operators reach a box."""
+        """The URL of a box's operator endpoints."""
         return f'http://{HOST}:{self.operator_port}'
 
     @property
     def alive(self) -> bool:
-        """Whether the process still runs."""
+        """Whether the process is still running."""
         return self.popen.poll() is None
 
 
 class LocalFleet:
-    """Starts, breaks and stops a set of processes."""
+    """Starts and stops a fleet of processes and injects faults."""
 
     def __init__(self, folder: str | None = None):
         self._temporary = tempfile.TemporaryDirectory(prefix='seamhold-') if not folder else None
@@ -143,7 +144,7 @@
         finally:
             log.close()
 
-    def _stand_in(self, name: str, kind: str, *arguments: str, port: int = 0) -> Process:
+    def _start_stand_in(self, name: str, kind: str, *arguments: str, port: int = 0) -> Process:
         popen = self._spawn(name, [f'standins.{kind}', '--port', str(port), *arguments])
         line = popen.stdout.readline()
         if not line:
@@ -153,8 +154,8 @@
         return process
 
     def start_platform(self) -> Process:
-        """The platform's stand-in."""
-        return self._stand_in('platform', 'platform')
+        """Start the platform's stand-in."""
+        return self._start_stand_in('platform', 'platform')
 
     def start_engine(
         self,
@@ -164,8 +165,8 @@
         token_seconds: float = 0.005,
         failure_domain: str = 'domain-a',
     ) -> Process:
-        """A model engine, listed in the platform."""
-        process = self._stand_in(
+        """Start a model engine and list it in the platform."""
+        process = self._start_stand_in(
             name,
             'engine',
             '--name',
@@ -179,13 +180,13 @@
         return process
 
     def start_service(self, name: str, service: str, slots: int = 64) -> Process:
-        """A plain service, listed in the platform."""
-        process = self._stand_in(name, 'service')
+        """Start a plain service and list it in the platform."""
+        process = self._start_stand_in(name, 'service')
         self.list_engine(process, service, slots)
         return process
 
     def start_box(self, name: str, wait: bool = True, **config) -> Process:
-        """A router box, listed in the platform."""
+        """Start a router box with default settings, changed by `config`, and list it."""
         ports = [free_port() for _ in range(3)]
         values = {
             'box': name,
@@ -200,7 +201,7 @@
         return self.run_box(name, values, wait)
 
     def run_box(self, name: str, values: dict, wait: bool = True) -> Process:
-        """Start a box from its settings; again after it ended, too."""
+        """Start or restart a box from its settings."""
         path = self.folder / f'{name}.yaml'
         path.write_text(yaml.safe_dump(values), encoding='utf-8')
         popen = self._spawn(name, ['seamhold', 'serve', '--settings', str(path)])
@@ -211,20 +212,20 @@
         process = Process(name, 'box', popen, *ports, values)
         self.processes[name] = process
         if self.platform.alive:
-            self.write('boxes', name, {'peer_address': values['peer_listen']}, tolerant=True)
+            self.write('boxes', name, {'peer_address': values['peer_listen']}, ignore_errors=True)
         if wait:
-            wait_until(lambda: self.ready(name), what=f'{name} to be ready')
+            wait_until(lambda: self.ready(name), description=f'{name} to be ready')
         return process
 
-    # The platform's side.
+    # The platform.
 
     @property
     def platform(self) -> Process:
-        """The platform's stand-in."""
+        """The process of the platform's stand-in."""
         return self.processes['platform']
 
     def list_engine(self, process: Process, service: str, slots: int, **extra) -> None:
-        """Put an engine into the platform's list."""
+        """Add an engine to the platform's list."""
         spec = {
             'service': service,
             'address': f'{HOST}:{process.port}',
@@ -234,8 +235,8 @@
         } | extra
         self.write('engines', process.name, spec)
 
-    def write(self, kind: str, name: str, spec: dict, tolerant: bool = False) -> None:
-        """Create or replace an object, as the platform itself would."""
+    def write(self, kind: str, name: str, spec: dict, ignore_errors: bool = False) -> None:
+        """Create or replace an object in the platform."""
         base = f'{self.platform.url}{API}/{kind}'
         body = {'metadata': {'name': name}, 'spec': spec}
         try:
@@ -243,24 +244,24 @@
             if answer.status == 404:
                 answer = self.http.request('POST', base, json=body)
         except urllib3.exceptions.HTTPError as error:
-            if not tolerant:
+            if not ignore_errors:
                 raise FleetError(f'{kind}/{name}: {error}') from error
             return
-        if answer.status >= 300 and not tolerant:
+        if answer.status >= 300 and not ignore_errors:
             raise FleetError(f'{kind}/{name}: {answer.status}')
 
     def delete(self, kind: str, name: str) -> None:
-        """Remove an object."""
+        """Delete an object from the platform."""
         self.http.request('DELETE', f'{self.platform.url}{API}/{kind}/{name}')
 
     def update_engine(self, name: str, **changes) -> None:
-        """Change an engine's listing."""
+        """Change fields of an engine's listing."""
         url = f'{self.platform.url}{API}/engines/{name}'
         spec = self.http.request('GET', url).json()['spec']
         self.write('engines', name, spec | changes)
 
     def apply(self, tree: dict) -> None:
-        """Apply a tree of settings by the command line."""
+        """Apply a tree of settings with the command line."""
         path = self.folder / 'tree.yaml'
         path.write_text(yaml.safe_dump(tree), encoding='utf-8')
         result = self.command('settings', 'apply', str(path), '--platform', self.platform.url)
@@ -269,7 +270,7 @@
 
     @staticmethod
     def command(*arguments: str) -> subprocess.CompletedProcess:
-        """Run the command line."""
+        """Run a seamhold command."""
         return subprocess.run(
             [sys.executable, '-m', 'seamhold', *arguments],
             capture_output=True,
@@ -278,15 +279,15 @@
             check=False,
         )
 
-    # Looking.
+    # Inspecting.
 
     def log_of(self, name: str) -> str:
-        """The end of a process's log."""
+        """Return the last 4000 characters of a process's log."""
         path = self.folder / f'{name}.log'
         return path.read_text(errors='replace')[-4000:] if path.exists() else ''
 
     def ready(self, name: str) -> bool:
-        """Whether a box would get work from a balancer."""
+        """Whether a box reports that it is ready; raise FleetError if its process ended."""
         process = self.processes[name]
         if not process.alive:
             raise FleetError(f'{name} ended: {self.log_of(name)}')
@@ -297,7 +298,7 @@
         return answer.status == 200
 
     def status(self, name: str) -> dict:
-        """A box's status page."""
+        """Return a box's status page."""
         url = f'{self.processes[name].operator_url}/status'
         answer = self.http.request('GET', url, timeout=10.0)
         if answer.status != 200:
@@ -305,50 +306,50 @@
         return answer.json()
 
     def faults(self, name: str, **values) -> None:
-        """Switch faults of a stand-in."""
+        """Change the injected faults of a stand-in."""
         url = f'{self.processes[name].url}/standin/faults'
         self.http.request('POST', url, json=values)
 
     def ledger(self, name: str) -> list[dict]:
-        """What a stand-in ran."""
+        """Return the requests that a stand-in ran."""
         return self.http.request('GET', f'{self.processes[name].url}/standin/ledger').json()
 
     def ledgers(self) -> list[dict]:
-        """What all living engines and services ran."""
+        """Return the requests that all running engines and services ran."""
         rows = []
         for process in self.processes.values():
             if process.kind in ('engine', 'service') and process.alive:
                 rows += self.ledger(process.name)
         return rows
 
-    # Breaking and stopping.
+    # Injecting faults and stopping.
 
     def signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to a process of this set."""
+        """Send a signal to a process if it is running."""
         process = self.processes[name]
         if process.alive:
             os.kill(process.popen.pid, number)
 
     def kill(self, name: str) -> None:
-        """End a process at once, as a failing box would."""
+        """Kill a process, as if it crashed."""
         self.signal(name, signal.SIGKILL)
         self.processes[name].popen.wait(STOP_SECONDS)
 
     def freeze(self, name: str) -> None:
-        """Stop a process without its noticing."""
+        """Suspend a process with SIGSTOP."""
         self.signal(name, signal.SIGSTOP)
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process."""
         self.signal(name, signal.SIGCONT)
 
     def terminate(self, name: str, seconds: float = STOP_SECONDS) -> int:
-        """Ask a process to end in good order; its exit status."""
+        """Stop a process with SIGTERM and return its exit status."""
         self.signal(name, signal.SIGTERM)
         return self.processes[name].popen.wait(seconds)
 
     def stop_all(self) -> None:
-        """End all processes, boxes first and in good order."""
+        """Stop all processes with SIGTERM, boxes first."""
         boxes = [process for process in self.processes.values() if process.kind == 'box']
         for process in boxes:
             self.signal(process.name, signal.SIGCONT)
--- a/standins/standins/httpd.py
+++ b/standins/standins/httpd.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: a threaded HTTP server with switchable faults."""
+"""The threaded HTTP server that all stand-ins use, with faults that can be switched."""
 
 import json
 import socket
@@ -11,29 +11,29 @@
 
 
 class Handler(BaseHTTPRequestHandler):
-    """JSON in, JSON out; keeps the connection open between requests."""
+    """Handles JSON requests on persistent connections."""
 
     protocol_version = 'HTTP/1.1'
     disable_nagle_algorithm = True
     wbufsize = 0
 
     def log_message(self, *args):
-        """Stand-ins keep quiet."""
+        """Write no access log."""
 
     def read_body(self) -> bytes:
-        """The request's body."""
+        """Read the request's body."""
         return self.rfile.read(int(self.headers.get('Content-Length') or 0))
 
     def read_json(self) -> dict:
-        """The request's body as JSON."""
+        """Read the request's body as JSON; an empty body is `{}`."""
         return json.loads(self.read_body() or b'{}')
 
     def encoded(self, value: object) -> bytes:
-        """The body that tells `value`."""
+        """Return `value` encoded as a response body."""
         return json.dumps(value).encode()
 
     def send_json(self, status: int, value: object, **headers: str) -> None:
-        """Answer with JSON and close nothing."""
+        """Send a JSON response and keep the connection open."""
         body = self.encoded(value)
         self.send_response(status)
         self.send_header('Content-Type', 'application/json')
@@ -44,7 +44,7 @@
         self.wfile.write(body)
 
     def begin_chunks(self, content_type: str, **headers: str) -> None:
-        """Start an answer of unknown length."""
+        """Start a chunked response."""
         self.send_response(200)
         self.send_header('Content-Type', content_type)
         self.send_header('Transfer-Encoding', 'chunked')
@@ -53,11 +53,11 @@
         self.end_headers()
 
     def send_chunk(self, data: bytes) -> None:
-        """One chunk; an empty one ends the answer."""
+        """Send one chunk; an empty one ends the response."""
         self.wfile.write(b'%x\r\n%b\r\n' % (len(data), data))
 
     def hang_up(self) -> None:
-        """Break the connection without an answer."""
+        """Close the connection without a response."""
         self.close_connection = True
         try:
             self.connection.shutdown(socket.SHUT_RDWR)
@@ -65,7 +65,7 @@
             pass
 
     def handle_fault_request(self) -> bool:
-        """Read or change the server's faults; False if the path is another."""
+        """Serve /standin/faults; return False for any other path."""
         if self.path != '/standin/faults':
             return False
         if self.command == 'POST':
@@ -75,7 +75,7 @@
 
 
 class StandIn(ThreadingHTTPServer):
-    """A server that holds its faults as a dataclass."""
+    """A server whose injected faults are the fields of a dataclass."""
 
     daemon_threads = True
     allow_reuse_address = True
@@ -88,24 +88,24 @@
 
     @property
     def port(self) -> int:
-        """The port it listens on."""
+        """The port that the server listens on."""
         return self.server_address[1]
 
     def handle_error(self, request, client_address):
-        """A caller that left is no news."""
+        """Ignore callers that disconnected; report other errors."""
         if not isinstance(sys.exc_info()[1], OSError):
             super().handle_error(request, client_address)
 
     def set_faults(self, values: dict) -> None:
-        """Change the named faults and leave the others."""
+        """Change the named faults and leave the others unchanged."""
         self.faults = replace(self.faults, **values)
 
     def faults_dict(self) -> dict:
-        """All faults and their values."""
+        """Return all faults and their values."""
         return {item.name: getattr(self.faults, item.name) for item in fields(self.faults)}
 
     def start(self):
-        """Serve in a thread of its own; for tests in one process."""
+        """Serve in a background thread, for tests within one process."""
         threading.Thread(target=self.serve_forever, args=(0.05,), daemon=True).start()
         return self
 
--- a/standins/standins/platform.py
+++ b/standins/standins/platform.py
@@ -1,8 +1,8 @@
-"""A stand-in for the platform's object API, in the style of Kubernetes'.
+"""A stand-in for the platform's object API, which follows the style of Kubernetes.
 
-It keeps collections of objects in memory.  `boxes` and `engines` can lag.
-Faults: outage, slowness, a write that takes effect but whose answer is lost,
-a cap on calls a second, and a reset to an older copy.
+It keeps collections of objects in memory.  Watches of `boxes` and `engines` can lag.
+Faults: an outage, slow answers, a write that takes effect but whose answer is lost,
+a rate limit, and a reset to an older snapshot.
 """
 
 import argparse
@@ -20,16 +20,16 @@
 HISTORY = 1000
 LAGGING_KINDS = ('boxes', 'engines')
 WATCH_STEP_SECONDS = 0.05
-#: Longest hold of a write; a writer waits a little longer for its answer.
+#: A write is held for at most this long; clients wait slightly longer for the answer.
 GATHER_SECONDS = 2.5
 
 
 @dataclass(frozen=True)
 class PlatformFaults:
-    """What can go wrong; times in seconds, rates in calls a second.
+    """The faults that can be injected; times in seconds, rates in calls per second.
 
-    With `gather_writes` writes are held until so many have come, so that all
-    their writers have read before the first of them lands.
+    `gather_writes` holds writes until that many have arrived, so that all their
+    clients have read the object before the first write takes effect.
     """
 
     down: bool = False
@@ -43,27 +43,27 @@
 
 
 class Store:
-    """Versioned collections with a bounded history for watches."""
+    """Versioned collections of objects, with a bounded history for watches."""
 
     def __init__(self):
         self.changed = threading.Condition()
         self.version = 0
         self.objects: dict[str, dict[str, dict]] = defaultdict(dict)
         self.history: deque = deque(maxlen=HISTORY)
-        self.copies: dict[str, tuple] = {}
+        self.snapshots: dict[str, tuple] = {}
 
     def write(self, kind: str, value: dict, create: bool) -> tuple[int, dict]:
-        """Conditional write: the status and the object or the reason."""
+        """Write an object conditionally; return the status and the object or the reason."""
         name = value.get('metadata', {}).get('name', '')
-        wanted = str(value.get('metadata', {}).get('resourceVersion', ''))
+        expected_version = str(value.get('metadata', {}).get('resourceVersion', ''))
         with self.changed:
-            held = self.objects[kind].get(name)
-            current = held['metadata']['resourceVersion'] if held else ''
-            if create and held:
+            existing = self.objects[kind].get(name)
+            current = existing['metadata']['resourceVersion'] if existing else ''
+            if create and existing:
                 return 409, {'reason': 'AlreadyExists'}
-            if not create and not held:
+            if not create and not existing:
                 return 404, {'reason': 'NotFound'}
-            if wanted and wanted != current:
+            if expected_version and expected_version != current:
                 return 409, {'reason': 'Conflict'}
             self.version += 1
             item = {
@@ -71,96 +71,96 @@
                 'spec': value.get('spec') or {},
             }
             self.objects[kind][name] = item
-            self._note(kind, 'MODIFIED' if held else 'ADDED', item)
-            return 200 if held else 201, item
+            self._record_change(kind, 'MODIFIED' if existing else 'ADDED', item)
+            return 200 if existing else 201, item
 
-    def delete(self, kind: str, name: str, wanted: str = '') -> tuple[int, dict]:
-        """Remove an object, if it is still at version `wanted` where that is told."""
+    def delete(self, kind: str, name: str, expected_version: str = '') -> tuple[int, dict]:
+        """Delete an object; a non-empty `expected_version` must match its version."""
         with self.changed:
-            held = self.objects[kind].get(name)
-            if held is None:
+            existing = self.objects[kind].get(name)
+            if existing is None:
                 return 404, {'reason': 'NotFound'}
-            if wanted and wanted != held['metadata']['resourceVersion']:
+            if expected_version and expected_version != existing['metadata']['resourceVersion']:
                 return 409, {'reason': 'Conflict'}
             del self.objects[kind][name]
             self.version += 1
-            item = copy.deepcopy(held)
+            item = copy.deepcopy(existing)
             item['metadata']['resourceVersion'] = str(self.version)
-            self._note(kind, 'DELETED', item)
+            self._record_change(kind, 'DELETED', item)
             return 200, item
 
-    def _note(self, kind: str, verb: str, item: dict) -> None:
+    def _record_change(self, kind: str, verb: str, item: dict) -> None:
         self.history.append((self.version, time.monotonic(), kind, verb, item))
         self.changed.notify_all()
 
-    def since(self, kind: str, version: int, before: float) -> list:
-        """Changes of `kind` after `version` that are older than `before`."""
+    def changes_since(self, kind: str, version: int, before: float) -> list:
+        """Return the changes of `kind` after `version` that were made by the time `before`."""
         return [
             row for row in self.history if row[0] > version and row[2] == kind and row[1] <= before
         ]
 
-    def oldest(self) -> int:
-        """The oldest version that a watch may begin from."""
+    def oldest_watchable_version(self) -> int:
+        """Return the oldest version from which a watch can start."""
         if len(self.history) < HISTORY:
             return 0
         return self.history[0][0] - 1
 
-    def copy_as(self, name: str) -> None:
-        """Keep a copy of all objects, for a later reset."""
+    def save_snapshot(self, name: str) -> None:
+        """Save a snapshot of all objects for a later reset."""
         with self.changed:
-            self.copies[name] = (self.version, copy.deepcopy(dict(self.objects)))
+            self.snapshots[name] = (self.version, copy.deepcopy(dict(self.objects)))
 
-    def reset_to(self, name: str) -> None:
-        """Go back to an older copy, versions included, and end all watches."""
+    def restore_snapshot(self, name: str) -> None:
+        """Restore a snapshot, versions included, and end all watches."""
         with self.changed:
-            self.version, objects = copy.deepcopy(self.copies[name])
+            self.version, objects = copy.deepcopy(self.snapshots[name])
             self.objects = defaultdict(dict, objects)
             self.history.clear()
             self.changed.notify_all()
 
 
 class PlatformHandler(Handler):
-    """Lists, gets, conditional writes and watches."""
+    """Serves lists, gets, conditional writes and watches."""
 
-    def _route(self):
-        """Kind, name and query of the request's path, or None."""
+    def _parse_path(self):
+        """Return kind, name and query of the request's path, or None."""
         parts = urlsplit(self.path)
         if not parts.path.startswith(API_PREFIX):
             return None
         kind, _, name = parts.path.removeprefix(API_PREFIX).partition('/')
         return kind, name, parse_qs(parts.query)
 
-    def _broken(self, verb: str) -> bool:
-        """Apply the faults that hit before anything is done."""
+    def _apply_faults(self, verb: str) -> bool:
+        """Apply outage, delay and rate limit; return whether the request was ended."""
         faults = self.server.faults
-        kind, _, _ = self._route()
+        kind, _, _ = self._parse_path()
         self.server.counts[f'{verb}.{kind}'] += 1
         if faults.slow:
             time.sleep(faults.slow)
         if self.server.faults.down:
             self.hang_up()
             return True
-        if not self.server.within_rate(verb):
+        if not self.server.within_rate_limit(verb):
             self.read_body()
             self.send_json(429, {'reason': 'TooManyRequests'}, Retry_After='1')
             return True
         return False
 
     def do_GET(self):
-        """List, get, watch, or the stand-in's own pages."""
+        """List, get or watch objects, or serve a control endpoint."""
         if self.handle_fault_request():
             return
         if self.path == '/standin/counts':
             self.send_json(200, dict(self.server.counts))
             return
         if self.path == '/standin/waiting':
-            self.send_json(200, dict(self.server.waiting))
+            self.send_json(200, dict(self.server.open_watches))
             return
-        kind, name, query = self._route()
+        kind, name, query = self._parse_path()
         if 'watch' in query:
-            if not self._broken('watch'):
+            if not self._apply_faults('watch'):
                 self._watch(kind, int(query.get('resourceVersion', ['0'])[0]), query)
-        elif not self._broken('get' if name else 'list'):
+        elif not self._apply_faults('get' if name else 'list'):
             self._get(kind, name) if name else self._list(kind)
 
     def _get(self, kind: str, name: str) -> None:
@@ -179,25 +179,25 @@
 
     def _watch(self, kind: str, version: int, query: dict) -> None:
         self.begin_chunks('application/json')
-        self.server.waiting[kind] += 1
+        self.server.open_watches[kind] += 1
         try:
             self._watch_from(kind, version, query)
         finally:
-            self.server.waiting[kind] -= 1
+            self.server.open_watches[kind] -= 1
 
     def _watch_from(self, kind: str, version: int, query: dict) -> None:
         store = self.server.store
-        if version < store.oldest() or version > store.version:
+        if version < store.oldest_watchable_version() or version > store.version:
             self._send_event('ERROR', {'metadata': {}, 'spec': {'code': 410}})
             self.send_chunk(b'')
             return
-        ends = time.monotonic() + float(query.get('timeoutSeconds', ['30'])[0])
-        while time.monotonic() < ends and not self.server.faults.down:
+        deadline = time.monotonic() + float(query.get('timeoutSeconds', ['30'])[0])
+        while time.monotonic() < deadline and not self.server.faults.down:
             with store.changed:
                 store.changed.wait(WATCH_STEP_SECONDS)
                 if version > store.version:
                     break
-                rows = store.since(kind, version, self._visible_before(kind))
+                rows = store.changes_since(kind, version, self._visible_before(kind))
             for row_version, _, _, verb, item in rows:
                 self._send_event(verb, item)
                 version = row_version
@@ -214,77 +214,77 @@
         self.send_chunk(json.dumps({'type': verb, 'object': item}).encode() + b'\n')
 
     def do_POST(self):
-        """Create an object, or drive the stand-in."""
+        """Create an object, or save or restore a snapshot."""
         if self.handle_fault_request():
             return
         action = self.path.removeprefix('/standin/')
         if action in ('copy', 'reset'):
             store = self.server.store
-            (store.copy_as if action == 'copy' else store.reset_to)('kept')
+            (store.save_snapshot if action == 'copy' else store.restore_snapshot)('kept')
             self.send_json(200, {})
             return
         self._write(create=True)
 
     def do_PUT(self):
-        """Write an object under a condition."""
+        """Replace an object conditionally."""
         self._write(create=False)
 
     def do_DELETE(self):
-        """Remove an object."""
-        kind, name, _ = self._route()
+        """Delete an object conditionally."""
+        kind, name, _ = self._parse_path()
         conditions = self.read_json().get('preconditions', {})
-        if not self._broken('write'):
-            wanted = conditions.get('resourceVersion', '')
-            self.send_json(*self.server.store.delete(kind, name, wanted))
+        if not self._apply_faults('write'):
+            expected_version = conditions.get('resourceVersion', '')
+            self.send_json(*self.server.store.delete(kind, name, expected_version))
 
     def _write(self, create: bool) -> None:
-        if self._broken('write'):
+        if self._apply_faults('write'):
             return
-        self.server.gather_writes()
-        kind, _, _ = self._route()
+        self.server.hold_write()
+        kind, _, _ = self._parse_path()
         status, value = self.server.store.write(kind, self.read_json(), create)
-        if status < 300 and self.server.loses_answer():
+        if status < 300 and self.server.drops_answer():
             self.hang_up()
             return
         self.send_json(status, value)
 
 
 class Platform(StandIn):
-    """The stand-in's server."""
+    """The platform's server."""
 
     def __init__(self, port: int = 0):
         super().__init__(port, PlatformHandler, PlatformFaults())
         self.store = Store()
         self.counts: Counter[str] = Counter()
-        self.waiting: Counter[str] = Counter()
-        self.gathered = threading.Condition()
+        self.open_watches: Counter[str] = Counter()
+        self.write_arrived = threading.Condition()
         self.held_writes = 0
         self._windows: dict[str, tuple[int, int]] = {}
 
-    def within_rate(self, verb: str) -> bool:
-        """Whether the cap on calls a second allows one more."""
+    def within_rate_limit(self, verb: str) -> bool:
+        """Count a call and return whether it is within the rate limit."""
         writes = verb == 'write'
-        cap = self.faults.writes_per_second if writes else self.faults.reads_per_second
+        rate_limit = self.faults.writes_per_second if writes else self.faults.reads_per_second
         group = 'write' if writes else 'read'
         second = int(time.monotonic())
         with self.lock:
-            at, count = self._windows.get(group, (second, 0))
-            count = count + 1 if at == second else 1
+            window_second, count = self._windows.get(group, (second, 0))
+            count = count + 1 if window_second == second else 1
             self._windows[group] = (second, count)
-        return count <= cap
+        return count <= rate_limit
 
-    def gather_writes(self) -> None:
-        """Hold a write until as many have come as the faults say."""
-        wanted = self.faults.gather_writes
-        if not wanted:
+    def hold_write(self) -> None:
+        """Hold a write until `gather_writes` writes have arrived."""
+        expected_writes = self.faults.gather_writes
+        if not expected_writes:
             return
-        with self.gathered:
+        with self.write_arrived:
             self.held_writes += 1
-            self.gathered.notify_all()
-            self.gathered.wait_for(lambda: self.held_writes >= wanted, GATHER_SECONDS)
+            self.write_arrived.notify_all()
+            self.write_arrived.wait_for(lambda: self.held_writes >= expected_writes, GATHER_SECONDS)
 
-    def loses_answer(self) -> bool:
-        """Whether this write's answer is to be lost."""
+    def drops_answer(self) -> bool:
+        """Whether to drop the answer of this write; count it off `lose_answers`."""
         with self.lock:
             if self.faults.lose_answers <= 0:
                 return False
--- a/standins/standins/proxy.py
+++ b/standins/standins/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback that breaks the connections that pass through it."""
+"""A TCP proxy on loopback that injects connection faults."""
 
 import asyncio
 import random
@@ -10,43 +10,43 @@
 HOST = '127.0.0.1'
 READ_BYTES = 64 * 1024
 START_SECONDS = 5.0
-#: Makes a close send a reset.
+#: SO_LINGER value that makes close() send a reset.
 RESET_AT_CLOSE = struct.pack('ii', 1, 0)
 
 
 class Mode(StrEnum):
-    """What happens to connections; one way is named by who is not heard."""
+    """The fault that the proxy injects; a one-way cut is named by the end whose data is held."""
 
     PASS = 'pass'
     DELAY = 'delay'
     RESET = 'reset'
     SILENCE = 'silence'
-    CLIENT_UNHEARD = 'client-unheard'
-    SERVER_UNHEARD = 'server-unheard'
+    CLIENT_HELD_BACK = 'client-unheard'
+    SERVER_HELD_BACK = 'server-unheard'
 
 
-#: Modes in which what one end sends does not arrive.
-UNHEARD = {
-    'client': {Mode.SILENCE, Mode.CLIENT_UNHEARD},
-    'server': {Mode.SILENCE, Mode.SERVER_UNHEARD},
+#: Modes in which the data that one end sends does not arrive.
+HELD_BACK = {
+    'client': {Mode.SILENCE, Mode.CLIENT_HELD_BACK},
+    'server': {Mode.SILENCE, Mode.SERVER_HELD_BACK},
 }
 
 
 class FaultProxy:
-    """Passes connections on to `target` (`ip:port`), or breaks them.
+    """Forwards connections to `target` (`ip:port`), or injects faults into them.
 
-    Bytes that are not heard are held and arrive when the mode passes, as on a
-    link that is cut for a while.
+    Data that a mode holds back is kept and delivered once the mode ends, as on a
+    network link that is interrupted for a while.
     """
 
-    def __init__(self, target: str, loop: asyncio.AbstractEventLoop, chance: random.Random):
+    def __init__(self, target: str, loop: asyncio.AbstractEventLoop, rng: random.Random):
         self.target = target
         self.delay = 0.0
         self._mode = Mode.PASS
         self._loop = loop
-        self._chance = chance
-        self._changed = asyncio.Event()
-        self._open: set[asyncio.StreamWriter] = set()
+        self._rng = rng
+        self._mode_changed = asyncio.Event()
+        self._open_writers: set[asyncio.StreamWriter] = set()
         server = asyncio.run_coroutine_threadsafe(self._listen(), loop).result(START_SECONDS)
         self.address = '{}:{}'.format(*server.sockets[0].getsockname())
 
@@ -54,16 +54,16 @@
         return await asyncio.start_server(self._accept, HOST, 0)
 
     def set_mode(self, mode: Mode, delay: float = 0.0) -> None:
-        """Change what happens from now on, from any thread."""
+        """Change the mode; `delay` in seconds.  Safe to call from any thread."""
         self._loop.call_soon_threadsafe(self._set_mode, mode, delay)
 
     def _set_mode(self, mode: Mode, delay: float) -> None:
         self._mode, self.delay = mode, delay
         if mode is Mode.RESET:
-            for writer in list(self._open):
+            for writer in list(self._open_writers):
                 self._reset(writer)
-        self._changed.set()
-        self._changed = asyncio.Event()
+        self._mode_changed.set()
+        self._mode_changed = asyncio.Event()
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self._mode is Mode.RESET:
@@ -71,37 +71,38 @@
             return
         host, _, port = self.target.rpartition(':')
         try:
-            there = await asyncio.open_connection(host, int(port))
+            server_end = await asyncio.open_connection(host, int(port))
         except OSError:
             self._reset(writer)
             return
-        ends = {writer, there[1]}
+        ends = {writer, server_end[1]}
         if self._mode is Mode.RESET:
-            # It came while this connection was being opened.
+            # The mode changed while this connection was being opened.
             for end in ends:
                 self._reset(end)
             return
-        self._open |= ends
+        self._open_writers |= ends
         try:
             await asyncio.gather(
-                self._pump(reader, there[1], 'client'), self._pump(there[0], writer, 'server')
+                self._copy_data(reader, server_end[1], 'client'),
+                self._copy_data(server_end[0], writer, 'server'),
             )
         except (OSError, asyncio.CancelledError):
-            # A connection broke, or the run is over.
+            # A connection broke, or the proxy is stopping.
             pass
         finally:
-            self._open -= ends
+            self._open_writers -= ends
             for end in ends:
                 end.close()
 
-    async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, speaker: str
+    async def _copy_data(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, sender: str
     ) -> None:
         while data := await reader.read(READ_BYTES):
             if self._mode is Mode.DELAY:
-                await asyncio.sleep(self.delay * self._chance.uniform(0.5, 1.5))
-            while self._mode in UNHEARD[speaker]:
-                await self._changed.wait()
+                await asyncio.sleep(self.delay * self._rng.uniform(0.5, 1.5))
+            while self._mode in HELD_BACK[sender]:
+                await self._mode_changed.wait()
             writer.write(data)
             await writer.drain()
         if writer.can_write_eof():
@@ -116,7 +117,7 @@
 
 
 class ProxyLoop:
-    """The thread that carries all proxies of a run."""
+    """The thread and event loop that run all proxies of a fleet."""
 
     def __init__(self):
         self.loop = asyncio.new_event_loop()
@@ -124,7 +125,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread; open connections break."""
+        """Stop the thread and break open connections."""
         asyncio.run_coroutine_threadsafe(self._cancel_all(), self.loop).result(START_SECONDS)
         self.loop.call_soon_threadsafe(self.loop.stop)
         self._thread.join(START_SECONDS)
--- a/standins/standins/service.py
+++ b/standins/standins/service.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain service: it echoes what it was asked, and keeps a ledger."""
+"""A stand-in for a plain service that echoes requests and keeps a ledger."""
 
 import argparse
 import hashlib
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class ServiceFaults:
-    """What can go wrong; times in seconds."""
+    """The faults that can be injected; times in seconds."""
 
     answer_seconds: float = 0.0
     hang_up: bool = False
@@ -18,7 +18,7 @@
 
 
 class ServiceHandler(Handler):
-    """Any method on any path is answered with what was asked."""
+    """Answers any method on any path with a description of the request."""
 
     def _serve(self):
         if self.handle_fault_request():
@@ -43,7 +43,7 @@
 
 
 class Service(StandIn):
-    """The stand-in's server."""
+    """The service's server."""
 
     def __init__(self, port: int = 0):
         super().__init__(port, ServiceHandler, ServiceFaults())
