--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,7 +1,7 @@
-"""A fault soak: real processes, random faults from outside, promises checked.
+"""A fault soak test: real processes, random faults, checked invariants.
 
-`python -m soak --seed 7` plays one run.  Callers send calls all the while;
-processes are killed, stopped, frozen and restarted; connections are delayed,
-reset, cut one way or silenced by a proxy on loopback.  What callers and
-engines saw is held against the promises.
+`python -m soak --seed 7` does one run.  Callers send calls throughout the run.
+Processes are killed, stopped, frozen and restarted; a proxy on loopback delays,
+resets or blocks connections in one or both directions.  The records of callers
+and engines are then checked against the invariants.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,33 +1,33 @@
-"""Plays the soak from the command line."""
+"""The command line of the soak."""
 
 import sys
 from pathlib import Path
 
 import fire
 
-from .run import Plan, Verdict, play
+from .run import RunConfig, RunResult, run_once
 
 SEEDS = Path(__file__).parent / 'seeds.txt'
 
 
-def known_seeds() -> list[int]:
-    """Seeds that once broke a promise (`seed: cause`); they are played again."""
+def read_known_seeds() -> list[int]:
+    """Return the seeds that violated an invariant in the past (`seed: cause` lines)."""
     lines = filter(None, map(str.strip, SEEDS.read_text(encoding='utf-8').splitlines()))
     return [int(line.partition(':')[0]) for line in lines if not line.startswith('#')]
 
 
-def show(verdict: Verdict) -> None:
-    """A line for the run, and one for each promise it broke."""
-    plan = verdict.plan
-    troubles = ', '.join(f'{count} {kind}' for kind, count in sorted(verdict.troubles.items()))
-    state = f'{len(verdict.violations)} BROKEN' if verdict.violations else 'ok'
+def print_result(result: RunResult) -> None:
+    """Print one line for the run and one for each violation."""
+    config = result.config
+    faults = ', '.join(f'{count} {kind}' for kind, count in sorted(result.faults.items()))
+    state = f'{len(result.violations)} BROKEN' if result.violations else 'ok'
     print(
-        f'seed {plan.seed}: {state}; {verdict.calls} calls, {verdict.whole} whole, '
-        f'{plan.boxes} boxes, {plan.engines} engines; {troubles}',
+        f'seed {config.seed}: {state}; {result.calls} calls, {result.complete} whole, '
+        f'{config.boxes} boxes, {config.engines} engines; {faults}',
         flush=True,
     )
-    for violation in verdict.violations:
-        print(f'  {violation.promise}: {violation.detail}', flush=True)
+    for violation in result.violations:
+        print(f'  {violation.invariant}: {violation.detail}', flush=True)
 
 
 def soak(
@@ -39,15 +39,15 @@
     callers: int = 12,
     known: bool = False,
 ) -> None:
-    """Play runs from `seed` on, or with --known those that once broke a promise."""
-    seeds = known_seeds() if known else range(seed, seed + runs)
-    verdicts = []
+    """Do runs from `seed` on, or with --known those that violated an invariant in the past."""
+    seeds = read_known_seeds() if known else range(seed, seed + runs)
+    results = []
     for number in seeds:
-        verdict = play(Plan(number, seconds, boxes, engines, callers))
-        show(verdict)
-        verdicts.append(verdict)
-    broken = sum(bool(verdict.violations) for verdict in verdicts)
-    print(f'{len(verdicts)} runs, {broken} broken')
+        result = run_once(RunConfig(number, seconds, boxes, engines, callers))
+        print_result(result)
+        results.append(result)
+    broken = sum(bool(result.violations) for result in results)
+    print(f'{len(results)} runs, {broken} broken')
     sys.exit(1 if broken else 0)
 
 
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak, from its seed to its verdict."""
+"""One run of the soak, from its seed to its result."""
 
 import random
 import threading
@@ -7,20 +7,20 @@
 
 from standins.fleet import FleetError, wait_until
 
-from .callers import Callers, Seen
+from .callers import Callers, CallRecord
+from .faults import FaultInjector
 from .fleet import READY_SECONDS, SoakFleet
-from .promises import Violation, check
-from .trouble import Troubles
+from .invariants import Violation, check
 
-#: The promise: an accepted version of the settings is in force everywhere.
+#: Within this time every box must use an accepted version of the settings.
 SETTINGS_SECONDS = 6.0
-LOOK_SECONDS = 0.4
+POLL_SECONDS = 0.4
 CALLS_AT_THE_END = 4
 
 
 @dataclass(frozen=True)
-class Plan:
-    """How large a run is; `seconds` of troubles."""
+class RunConfig:
+    """The size of a run; faults are injected for `seconds`."""
 
     seed: int
     seconds: float = 20.0
@@ -30,38 +30,38 @@
 
 
 @dataclass
-class Verdict:
-    """What a run came to."""
+class RunResult:
+    """The counts and violations of a run."""
 
-    plan: Plan
+    config: RunConfig
     calls: int = 0
-    whole: int = 0
-    troubles: dict[str, int] = field(default_factory=dict)
+    complete: int = 0
+    faults: dict[str, int] = field(default_factory=dict)
     violations: list[Violation] = field(default_factory=list)
 
 
-class SettingsLook(threading.Thread):
-    """Looks at each box's settings all the while: they only go forward in one life."""
+class SettingsMonitor(threading.Thread):
+    """Polls each box's settings: within one process, revisions must never decrease."""
 
     def __init__(self, fleet: SoakFleet):
         super().__init__(daemon=True)
         self._fleet = fleet
-        self._seen: dict[int, int] = {}
+        self._revision_sums: dict[int, int] = {}
         self._stopped = threading.Event()
         self.violations: list[Violation] = []
 
     def run(self):
-        """Look until stopped."""
-        while not self._stopped.wait(LOOK_SECONDS):
+        """Poll until stopped."""
+        while not self._stopped.wait(POLL_SECONDS):
             for box in self._fleet.boxes:
-                self._look(box)
+                self._check_box(box)
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop polling."""
         self._stopped.set()
         self.join()
 
-    def _look(self, box: str) -> None:
+    def _check_box(self, box: str) -> None:
         process = self._fleet.processes[box]
         try:
             url = f'{process.operator_url}/status'
@@ -71,57 +71,62 @@
                 .values()
             )
         except Exception:
-            # It is down, frozen or not yet up.
+            # The box is down, frozen or not started yet.
             return
-        before = self._seen.get(process.popen.pid, 0)
+        before = self._revision_sums.get(process.popen.pid, 0)
         if total < before:
             detail = f'{box}: from {before} to {total}'
-            self.violations.append(Violation('settings never go back', detail))
-        self._seen[process.popen.pid] = total
-
-
-def play(plan: Plan) -> Verdict:
-    """One run; everything it started is ended."""
-    verdict = Verdict(plan)
-    with SoakFleet(random.Random(plan.seed)) as fleet:
-        fleet.start(plan.boxes, plan.engines)
-        callers = Callers(fleet, plan.seed)
-        troubles = Troubles(fleet, plan.seed)
-        look = SettingsLook(fleet)
-        look.start()
-        callers.start(plan.callers)
-        troubles.play(plan.seconds)
-        verdict.violations += _check_recovery(fleet, troubles, callers)
+            self.violations.append(Violation('settings never revert', detail))
+        self._revision_sums[process.popen.pid] = total
+
+
+def run_once(config: RunConfig) -> RunResult:
+    """Do one run and stop every process that it started."""
+    result = RunResult(config)
+    with SoakFleet(random.Random(config.seed)) as fleet:
+        fleet.start(config.boxes, config.engines)
+        callers = Callers(fleet, config.seed)
+        injector = FaultInjector(fleet, config.seed)
+        monitor = SettingsMonitor(fleet)
+        monitor.start()
+        callers.start(config.callers)
+        injector.run(config.seconds)
+        result.violations += _check_recovery(fleet, injector, callers)
         callers.stop()
-        look.stop()
-        verdict.violations += look.violations
-        verdict.violations += check(callers.seen, fleet.ran(), troubles.made)
-    verdict.calls = len(callers.seen)
-    verdict.whole = sum(seen.looks_whole for seen in callers.seen)
-    for trouble in troubles.made:
-        verdict.troubles[trouble.kind] = verdict.troubles.get(trouble.kind, 0) + 1
-    return verdict
-
-
-def _check_recovery(fleet: SoakFleet, troubles: Troubles, callers: Callers) -> list[Violation]:
-    """With all troubles over, every box is ready, has the newest settings and serves."""
+        monitor.stop()
+        result.violations += monitor.violations
+        result.violations += check(callers.records, fleet.started_requests(), injector.injected)
+    result.calls = len(callers.records)
+    result.complete = sum(record.looks_complete for record in callers.records)
+    for fault in injector.injected:
+        result.faults[fault.kind] = result.faults.get(fault.kind, 0) + 1
+    return result
+
+
+def _check_recovery(fleet: SoakFleet, injector: FaultInjector, callers: Callers) -> list[Violation]:
+    """Check that after all faults every box is ready, serves calls and has the newest settings."""
     try:
         for box in fleet.boxes:
             wait_until(lambda box=box: fleet.ready(box), READY_SECONDS, f'{box} to be ready')
-        troubles.settings += 1
-        fleet.change_settings(troubles.settings)
+        injector.settings_version += 1
+        fleet.change_settings(injector.settings_version)
         time.sleep(SETTINGS_SECONDS)
     except FleetError as error:
         return [Violation('a fleet recovers', str(error))]
     found = []
     revisions = {box: fleet.status(box)['settings']['revisions'] for box in fleet.boxes}
     if len({str(sorted(held.items())) for held in revisions.values()}) != 1:
-        found.append(Violation('settings are in force everywhere in seconds', str(revisions)))
-    for seen in callers.call_each_box(CALLS_AT_THE_END):
-        if not seen.looks_whole:
-            found.append(Violation('a fleet recovers', _told(seen)))
+        found.append(
+            Violation('accepted settings are in force on every box within seconds', str(revisions))
+        )
+    for record in callers.call_each_box(CALLS_AT_THE_END):
+        if not record.looks_complete:
+            found.append(Violation('a fleet recovers', _describe(record)))
     return found
 
 
-def _told(seen: Seen) -> str:
-    return f'{seen.mark} at {seen.box}: {seen.status} {seen.broken} {seen.problem}'
+def _describe(record: CallRecord) -> str:
+    return (
+        f'{record.mark} at {record.box}: {record.status} {record.connection_error} '
+        f'{record.error_document}'
+    )
