--- a/models/__init__.py
+++ b/models/__init__.py
@@ -1,6 +1,6 @@
 """Small specifications of the core protocol, checked state by state.
 
-Each model has a variant with one mechanism broken, which must give a
-counterexample: that shows that the check can fail.  The transition functions
-are the packages' own wherever that is possible.
+Each model has variants in which one mechanism is broken.  The checker must find
+a counterexample for each, which shows that the check can fail.  The transitions
+call the packages' own functions wherever possible.
 """
--- a/models/base.py
+++ b/models/base.py
@@ -1,4 +1,4 @@
-"""What the models share."""
+"""Definitions that the models share."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -6,25 +6,25 @@
 
 from minicheck import Protocol
 
-#: A transition: its label and the state after it.
+#: Transitions, each a label and the state after it.
 Steps = Iterable[tuple[str, Any]]
 
 
 @dataclass(frozen=True)
 class Spec:
-    """A model and the variants of it that must fail.
+    """A model and the variants that must fail.
 
-    `broken` maps what is broken to the invariant that must catch it.
+    `broken_variants` maps each broken mechanism to the invariant that must detect it.
     """
 
     name: str
     initial: Any
     transitions: Callable[[Any, str], Steps]
     invariants: dict[str, Callable[[dict], bool]]
-    broken: dict[str, str]
+    broken_variants: dict[str, str]
 
     def protocol(self, variant: str = '') -> Protocol:
-        """The model, or a broken variant of it."""
+        """Return the model, or one of its broken variants, as a minicheck protocol."""
         return Protocol(
             name=self.name,
             candidate=False,
--- a/models/leaving.py
+++ b/models/leaving.py
@@ -1,8 +1,8 @@
-"""Leaving: a list that lags, news out of order, and an engine that restarts.
+"""Leaving: a lagging list, updates out of order, and an engine that restarts.
 
-The box's view is the packages' own `EngineView`.  The engine has two starts;
-the first leaves.  Once the box knows that, no list that still shows the
-engine as live may bring it new work; the second start may.
+The box's view is the packages' own `EngineView`.  The engine has two incarnations;
+the first leaves.  Once the box has received that, it sends the first no new work,
+even if a list still shows it as live; the second incarnation may get work.
 """
 
 from functools import cache
@@ -18,36 +18,36 @@
 
 
 class Listing(NamedTuple):
-    """What the platform's list says of the engine."""
+    """The engine's entry in the platform's list."""
 
     incarnation: str
     phase: Phase
 
 
 class State(NamedTuple):
-    """The engine, what lists may say of it, and what the box was told."""
+    """The engine, its possible list entries, and the updates that the box received."""
 
     incarnation: str = '1'
     leaving: bool = False
     listings: tuple = (Listing('1', Phase.LIVE),)
-    told: tuple = (Listing('1', Phase.LIVE),)
-    knows: bool = False
+    received: tuple = (Listing('1', Phase.LIVE),)
+    knows_leaving: bool = False
     sent_to_leaving: bool = False
 
 
 @cache
-def serves(told: tuple, variant: str) -> bool:
-    """Whether the packages' view gives the engine work after this news.
+def gets_work_after(received: tuple, variant: str) -> bool:
+    """Whether the packages' view gives the engine work after these updates.
 
-    News is lists in the order they came; a leaving event is a listing of
-    phase SUSPECT here, which no list has.
+    Updates are list entries in the order of arrival.  A leaving event is encoded as
+    an entry of phase SUSPECT, which never occurs in a list.
     """
     view = EngineView()
-    for listing in told:
+    for listing in received:
         if listing.phase is Phase.SUSPECT:
             view.mark_leaving(ENGINE, listing.incarnation)
             continue
-        if variant == 'a list overrides what was learned':
+        if variant == 'a list overrides received events':
             view = EngineView()
         engine = Engine(ENGINE, SERVICE, '', '', listing.incarnation, phase=listing.phase)
         view.set_list([engine], 0.0)
@@ -55,7 +55,7 @@
 
 
 def transitions(state: State, variant: str) -> Steps:
-    """Every step that may come next."""
+    """Yield every possible next step."""
     if not state.leaving and state.incarnation == '1':
         listing = Listing('1', Phase.LEAVING)
         yield (
@@ -65,21 +65,21 @@
     if state.leaving:
         listing = Listing('2', Phase.LIVE)
         yield (
-            'engine starts anew',
+            'engine restarts',
             state._replace(incarnation='2', leaving=False, listings=(*state.listings, listing)),
         )
-    if len(state.told) < 5:
+    if len(state.received) < 5:
         for listing in state.listings:
-            knows = state.knows or listing.phase is Phase.LEAVING
+            knows_leaving = state.knows_leaving or listing.phase is Phase.LEAVING
             yield (
                 f'list says {listing.incarnation} {listing.phase}',
-                state._replace(told=(*state.told, listing), knows=knows),
+                state._replace(received=(*state.received, listing), knows_leaving=knows_leaving),
             )
         if state.leaving:
             event = Listing('1', Phase.SUSPECT)
-            yield 'event', state._replace(told=(*state.told, event), knows=True)
-    if serves(state.told, variant) and state.knows:
-        last = [item for item in state.told if item.phase is not Phase.SUSPECT][-1]
+            yield 'event', state._replace(received=(*state.received, event), knows_leaving=True)
+    if gets_work_after(state.received, variant) and state.knows_leaving:
+        last = [item for item in state.received if item.phase is not Phase.SUSPECT][-1]
         yield 'work', state._replace(sent_to_leaving=last.incarnation == '1')
 
 
@@ -87,6 +87,6 @@
     'leaving',
     State(),
     transitions,
-    {'no new work once known to leave': lambda state: not state['sent_to_leaving']},
-    {'a list overrides what was learned': 'no new work once known to leave'},
+    {'no new work once known to be leaving': lambda state: not state['sent_to_leaving']},
+    {'a list overrides received events': 'no new work once known to be leaving'},
 )
--- a/models/settings.py
+++ b/models/settings.py
@@ -1,8 +1,8 @@
-"""Settings: news in any order, a reset platform, edits on the older copy.
+"""Settings: versions in any order, a reset platform, edits of the older snapshot.
 
-Two boxes hear of versions in any order, old ones included.  The platform may
-go back once to an older copy; a watching box then mends it.  What a box does
-with a version is the packages' own `ActiveSettings`.
+Two boxes receive versions in any order, old ones included.  The platform may
+revert once to an older snapshot; a watching box then repairs it.  The packages'
+own `ActiveSettings` decides what a box does with a version.
 """
 
 from functools import cache
@@ -25,72 +25,78 @@
 
 
 class State(NamedTuple):
-    """The platform, each box, all that was ever written, and what went wrong."""
+    """The versions at the platform and the boxes, all ever written, and the violations."""
 
     platform: Version = Version(1, ('e0',))
     boxes: tuple = (Version(1, ('e0',)), Version(1, ('e0',)))
-    written: tuple = (Version(1, ('e0',)),)
+    versions_written: tuple = (Version(1, ('e0',)),)
     edits: int = 1
     resets: int = 0
     reverted: bool = False
 
 
 def candidate(version: Version) -> Candidate:
-    """The version as the packages weigh it."""
+    """Return the version as a candidate for the packages' settings."""
     *before, last = version.edits
     return Candidate(OBJECT, version.revision, last, {}, False, tuple(before))
 
 
 @cache
-def step(held: Version, told: Version) -> OfferResult:
-    """What the packages' settings state does with a version."""
+def offer_to(held: Version, received: Version) -> OfferResult:
+    """Return the result of offering a version to the packages' settings that hold another."""
     state = ActiveSettings()
     state.offer(candidate(held))
-    return state.offer(candidate(told))
+    return state.offer(candidate(received))
 
 
-def written(state: State, version: Version, **changes) -> State:
-    """The platform takes a version."""
-    everything = tuple(sorted({*state.written, version}))
-    return state._replace(platform=version, written=everything, **changes)
+def write_version(state: State, version: Version, **changes) -> State:
+    """The platform stores a version."""
+    everything = tuple(sorted({*state.versions_written, version}))
+    return state._replace(platform=version, versions_written=everything, **changes)
 
 
-def hear(state: State, number: int, told: Version, variant: str) -> State:
-    """A box is told a version by whoever has it."""
+def receive(state: State, number: int, received: Version, variant: str) -> State:
+    """A box receives a version from the platform or a peer."""
     held = state.boxes[number]
-    taken = step(held, told) is OfferResult.TAKEN or variant == 'the latest news wins'
+    taken = (
+        offer_to(held, received) is OfferResult.TAKEN
+        or variant == 'the latest received version wins'
+    )
     if not taken:
         return state
     boxes = list(state.boxes)
-    boxes[number] = told
-    back = told.revision < held.revision
+    boxes[number] = received
+    back = received.revision < held.revision
     return state._replace(boxes=tuple(boxes), reverted=state.reverted or back)
 
 
-def mend(state: State, number: int, variant: str) -> State:
-    """A watching box sees the platform behind or beside what is in force."""
+def repair(state: State, number: int, variant: str) -> State:
+    """A watching box finds the platform's version older than or diverged from its own."""
     held, found = state.boxes[number], state.platform
-    verdict = step(held, found)
+    verdict = offer_to(held, found)
     if verdict is OfferResult.OLDER:
-        return written(state, held)
+        return write_version(state, held)
     if verdict is OfferResult.BRANCH:
         edits = (*held.edits, found.edits[-1])
-        return written(state, Version(held.revision + 1, edits))
+        return write_version(state, Version(held.revision + 1, edits))
     return state
 
 
 def transitions(state: State, variant: str) -> Steps:
-    """Every step that may come next."""
+    """Yield every possible next step."""
     if state.edits < EDITS:
-        last = state.platform
-        edited = Version(last.revision + 1, (*last.edits, f'e{state.edits}'))
-        yield 'edit', written(state, edited, edits=state.edits + 1)
+        current = state.platform
+        edited = Version(current.revision + 1, (*current.edits, f'e{state.edits}'))
+        yield 'edit', write_version(state, edited, edits=state.edits + 1)
     for number in BOXES:
-        for told in state.written:
-            yield f'box {number} hears {told.revision}', hear(state, number, told, variant)
-        yield f'box {number} mends', mend(state, number, variant)
+        for received in state.versions_written:
+            yield (
+                f'box {number} receives {received.revision}',
+                receive(state, number, received, variant),
+            )
+        yield f'box {number} repairs', repair(state, number, variant)
     if not state.resets:
-        for copy in state.written:
+        for copy in state.versions_written:
             yield f'reset to {copy.revision}', state._replace(platform=copy, resets=1)
 
 
@@ -98,6 +104,6 @@
     'settings',
     State(),
     transitions,
-    {'versions only go forward': lambda state: not state['reverted']},
-    {'the latest news wins': 'versions only go forward'},
+    {'versions never decrease': lambda state: not state['reverted']},
+    {'the latest received version wins': 'versions never decrease'},
 )
