--- a/measure/__init__.py
+++ b/measure/__init__.py
@@ -1,5 +1,5 @@
-"""Measurements of the decision libraries, with a hand-set clock.
+"""Measurements of the decision libraries and of real processes.
 
-`python -m measure` drives the packages' own `Router`, one per box, with fake
-engines and callers.  Nothing here is a copy of a decision.
+The simulations run the packages' own `Router`, one per box, with fake engines
+and callers on a simulated clock.  No decision logic is duplicated here.
 """
--- a/measure/__main__.py
+++ b/measure/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m measure [NAME ...]`: all measurements, or those named."""
+"""`python -m measure [NAME ...]` runs all measurements, or those named."""
 
 import sys
 import time
@@ -6,7 +6,7 @@
 from . import growth, path, placing, platform_calls, quarantine, slopes, start
 
 MEASUREMENTS = {
-    'placing': placing.compare_ways,
+    'placing': placing.compare_variants,
     'frontier': placing.frontier,
     'growth': growth.measure,
     'slopes': slopes.measure,
@@ -18,15 +18,15 @@
 
 
 def main(names: list[str]) -> int:
-    """Run the measurements; 2 if one is not known."""
+    """Run the measurements; return 2 if a name is unknown."""
     unknown = set(names) - set(MEASUREMENTS)
     if unknown:
         print(f'no such measurement: {", ".join(unknown)}; there are {", ".join(MEASUREMENTS)}')
         return 2
     for name in names or MEASUREMENTS:
-        began = time.monotonic()
+        started = time.monotonic()
         MEASUREMENTS[name]()
-        print(f'({name} took {time.monotonic() - began:.0f} s)', flush=True)
+        print(f'({name} took {time.monotonic() - started:.0f} s)', flush=True)
     return 0
 
 
--- a/measure/fakes.py
+++ b/measure/fakes.py
@@ -1,4 +1,4 @@
-"""Fake engines and callers: just enough to give decisions their consequences."""
+"""Fake engines and callers, with the behaviour that placement decisions depend on."""
 
 import random
 from collections import OrderedDict
@@ -6,13 +6,13 @@
 
 from seamhold_messages.work import Work
 
-#: Tokens read a second by an idle engine, and seconds for one token written.
+#: Tokens that an idle engine reads per second, and seconds for each token that it writes.
 PREFILL_RATE = 8000.0
 TOKEN_SECONDS = 0.03
 
 
 class FakeEngine:
-    """Work in flight and a prefix cache of limited size, in tokens."""
+    """An engine with work in flight and an LRU prefix cache of `cache_tokens`."""
 
     def __init__(self, name: str, domain: str, slots: int, cache_tokens: int):
         self.name = name
@@ -21,12 +21,12 @@
         self.cache_tokens = cache_tokens
         self.incarnation = 0
         self.load = Work()
-        self.up = True
+        self.is_up = True
         self._cached: OrderedDict[str, int] = OrderedDict()
         self._held = 0
 
     def read(self, chat: str, prompt: int) -> int:
-        """Tokens of the prompt that the cache holds; then it holds all."""
+        """Cache the whole prompt; return how many of its tokens were cached before."""
         had = self._cached.pop(chat, 0)
         self._cached[chat] = prompt
         self._held += prompt - had
@@ -36,12 +36,12 @@
         return min(had, prompt)
 
     def seconds(self, new_tokens: int, output: int) -> float:
-        """How long a call takes with the work that is here now."""
+        """Return the duration of a call under the engine's current load."""
         crowding = 1.0 + self.load.requests / 64
         return new_tokens / PREFILL_RATE * crowding + output * TOKEN_SECONDS * crowding
 
     def restart(self) -> None:
-        """A new start: the cache is empty."""
+        """Restart with an empty cache and no work."""
         self.incarnation += 1
         self._cached.clear()
         self._held = 0
@@ -50,10 +50,10 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """The traffic of one of the users, at about today's size.
+    """The traffic of one deployment, at about its current size.
 
-    `calls` a second in calm; `bundles` is the part of calls that bring
-    `bundle_times` the prompt; `pause` in seconds between a chat's turns.
+    `calls` is the usual rate per second; `bundles` is the fraction of calls whose
+    prompt is `bundle_times` as long; `latency` is in seconds.
     """
 
     name: str
@@ -77,7 +77,7 @@
 
 @dataclass
 class Chat:
-    """A chat that returns; `seen` is the prompt that some engine has read."""
+    """A chat of several turns; `seen` is the number of prompt tokens that an engine has read."""
 
     name: str
     workspace: str
@@ -88,46 +88,46 @@
 
 
 @dataclass
-class Crowd:
-    """The callers: which chat speaks next, and with how much."""
+class Callers:
+    """The callers: they choose the next chat and the sizes of its turn."""
 
     deployment: Deployment
-    chance: random.Random
+    rng: random.Random
     scale: float = 1.0
     chats: list[Chat] = field(default_factory=list)
-    _made: int = 0
+    _chats_created: int = 0
 
     def __post_init__(self):
         self.chats = [self._new() for _ in range(round(self.deployment.chats * self.scale))]
 
     def _new(self) -> Chat:
-        self._made += 1
-        # A few workspaces are large: their part falls with their number.
+        self._chats_created += 1
+        # A few workspaces are large: a workspace's share falls with its number.
         weights = [1 / (number + 1) for number in range(self.deployment.workspaces)]
-        number = self.chance.choices(range(self.deployment.workspaces), weights)[0]
-        prompt = round(self.deployment.first_prompt * self.chance.uniform(0.5, 1.5))
-        return Chat(f'chat-{self._made}', f'workspace-{number}', prompt)
+        number = self.rng.choices(range(self.deployment.workspaces), weights)[0]
+        prompt = round(self.deployment.first_prompt * self.rng.uniform(0.5, 1.5))
+        return Chat(f'chat-{self._chats_created}', f'workspace-{number}', prompt)
 
     def next_turn(self) -> Chat:
-        """A chat whose caller speaks now."""
+        """Return an idle chat for the next call."""
         for _ in range(20):
-            place = self.chance.randrange(len(self.chats))
-            chat = self.chats[place]
+            index = self.rng.randrange(len(self.chats))
+            chat = self.chats[index]
             if chat.busy:
                 continue
             if chat.prompt >= self.deployment.prompt_max:
-                chat = self.chats[place] = self._new()
+                chat = self.chats[index] = self._new()
             return chat
         return self._new()
 
     def size(self, chat: Chat) -> tuple[int, int]:
-        """Tokens of this turn's prompt and of its answer."""
+        """Return the tokens of this turn's prompt and answer."""
         prompt = chat.prompt
-        if self.chance.random() < self.deployment.bundles:
+        if self.rng.random() < self.deployment.bundles:
             prompt *= self.deployment.bundle_times
-        output = max(4, round(self.chance.expovariate(1 / self.deployment.output)))
+        output = max(4, round(self.rng.expovariate(1 / self.deployment.output)))
         return prompt, min(output, 1000)
 
     def grow(self, chat: Chat) -> None:
-        """The chat's next turn is longer."""
-        chat.prompt += round(self.deployment.turn_tokens * self.chance.uniform(0.5, 1.5))
+        """Lengthen the chat's prompt for its next turn."""
+        chat.prompt += round(self.deployment.turn_tokens * self.rng.uniform(0.5, 1.5))
--- a/measure/growth.py
+++ b/measure/growth.py
@@ -1,18 +1,18 @@
-"""How reuse, skew, bytes and time a decision grow with boxes and engines."""
+"""How reuse, skew, bytes and decision time grow with boxes and engines."""
 
-from .policies import Way
+from .policies import PlacementVariant
 from .report import Column, as_row, save, table
-from .runs import Run, do_all
+from .runs import Run, execute_runs
 
-#: Boxes, engines, and how many times the calls of today.
+#: Boxes, engines, and the multiple of the current call rate.
 SIZES = ((8, 10, 1.0), (8, 100, 10.0), (64, 100, 10.0), (64, 667, 40.0))
 SECONDS = 25.0
 REPORTS_MAX_ENGINES = 100
 BUDGET = 8192
 WAYS = (
-    Way('hash alone', 'hash', hints=False, budget=BUDGET),
-    Way('digests', budget=BUDGET),
-    Way('reports', knowledge='reports', budget=BUDGET),
+    PlacementVariant('hash alone', 'hash', hints=False, budget=BUDGET),
+    PlacementVariant('digests', budget=BUDGET),
+    PlacementVariant('reports', load_source='reports', budget=BUDGET),
 )
 COLUMNS = (
     Column('boxes', 'boxes', 'd'),
@@ -31,22 +31,22 @@
 
 
 def measure() -> None:
-    """Runs of the Kusina mix at growing sizes."""
+    """Run the Kusina traffic at growing sizes."""
     runs = [
-        Run('kusina', 'calm', way, 1, boxes, engines, scale, SECONDS)
+        Run('kusina', 'calm', variant, 1, boxes, engines, scale, SECONDS)
         for boxes, engines, scale in SIZES
-        for way in WAYS
-        # The fake reports are summed anew for each call, which takes too long
-        # there; a box would not do that.
-        if way.knowledge != 'reports' or engines <= REPORTS_MAX_ENGINES
+        for variant in WAYS
+        # The fake reports are summed for each call, which takes too long with many
+        # engines; a real box would not do that.
+        if variant.load_source != 'reports' or engines <= REPORTS_MAX_ENGINES
     ]
     rows = [
-        as_row(figures, boxes=run.boxes, engines=run.engines, way=run.way.name)
-        for run, figures in zip(runs, do_all(runs), strict=True)
+        as_row(figures, boxes=run.boxes, engines=run.engines, way=run.variant.name)
+        for run, figures in zip(runs, execute_runs(runs), strict=True)
     ]
     about = (
         f'Kusina mix, calm, {SECONDS:g} s, one seed, a budget of {BUDGET} B/s a box.  At 64 '
-        'boxes a box hears about 14 neighbours; "reports" is what boxes would know from '
+        'boxes a box receives from about 14 neighbours; "reports" is what boxes would know from '
         "engines' reports, one second old, if these were spread.  It was not run at 667 "
         'engines.'
     )
--- a/measure/losses.py
+++ b/measure/losses.py
@@ -1,4 +1,4 @@
-"""Where calls lose time, work and answers: tables from the logs of all boxes.
+"""Tables from the logs of all boxes: re-read prompts, failures and waits before refusals.
 
 `python -m measure.losses LOG ...` reads logs as `seamhold explain` does.
 """
@@ -13,16 +13,16 @@
 
 from seamhold.explaining import ENDS, LogLine, read_line
 
-#: Seconds of a row in the table over time.
+#: The period of one row in the table over time.
 WINDOW_SECONDS = 2.0
-#: Rows of a table at most.
+#: The maximum number of rows of a table.
 ROWS_MAX = 40
 
 
 class Reading(Struct, frozen=True):
-    """A call that an engine began to answer, in seconds of the logs' clock."""
+    """An attempt that an engine started to answer; times in seconds of the logs' clock."""
 
-    began: float
+    started: float
     answered: float
     chat: str
     tokens: int
@@ -33,26 +33,26 @@
 
 
 class Tokens(Struct):
-    """How often something was read, and how many tokens that were."""
+    """A number of calls and the sum of their shared tokens."""
 
     calls: int = 0
     tokens: int = 0
 
     def add(self, tokens: int) -> None:
-        """Note one."""
+        """Count one call."""
         self.calls += 1
         self.tokens += tokens
 
 
 class Holders(Struct):
-    """When each engine first held a chat, by all logs together."""
+    """The time since which each engine holds a chat, from all logs together."""
 
     since: dict[str, float] = field(default_factory=dict)
-    first_began: float = 0.0
+    first_started: float = 0.0
 
 
 def load(paths: Iterable[str]) -> list[LogLine]:
-    """All lines of the logs."""
+    """Return all readable lines of the logs."""
     lines = []
     for path in paths:
         with Path(path).open(encoding='utf-8') as file:
@@ -61,25 +61,25 @@
 
 
 def moment(line: LogLine) -> float:
-    """When a line was written, in seconds since 1970."""
+    """Return when a line was written, in unix seconds."""
     return datetime.fromisoformat(line.at).timestamp()
 
 
 def readings(lines: Iterable[LogLine]) -> Iterator[Reading]:
-    """Every attempt that an engine answered, of calls that share a prompt."""
+    """Yield every attempt that an engine answered, of calls that share a prompt."""
     for line in lines:
         values = line.fields
         if line.event not in ENDS or not values.get('chat'):
             continue
         ended = moment(line)
         for attempt in reversed(values['attempts']):
-            began = ended - attempt['seconds']
-            ended = began
+            started = ended - attempt['seconds']
+            ended = started
             if attempt.get('answered') is None:
                 continue
             yield Reading(
-                began,
-                began + attempt['answered'],
+                started,
+                started + attempt['answered'],
                 values['chat'],
                 values['shared_tokens'],
                 attempt['engine'],
@@ -89,39 +89,39 @@
             )
 
 
-def causes_of_reading(found: Iterable[Reading]) -> dict[str, Tokens]:
-    """Tokens of shared parts by whether, and why, they were read or moved."""
+def causes_of_reading(all_readings: Iterable[Reading]) -> dict[str, Tokens]:
+    """Sum the shared tokens by whether and why they were read, found or moved."""
     chats: dict[str, Holders] = {}
     causes: dict[str, Tokens] = defaultdict(Tokens)
-    for one in sorted(found, key=lambda reading: reading.began):
-        holders = chats.get(one.chat)
+    for reading in sorted(all_readings, key=lambda reading: reading.started):
+        holders = chats.get(reading.chat)
         if holders is None:
-            holders = chats[one.chat] = Holders(first_began=one.began)
+            holders = chats[reading.chat] = Holders(first_started=reading.started)
             cause = 'first reading'
         else:
-            cause = _cause(one, holders)
-        causes[cause].add(one.tokens)
-        held = holders.since.get(one.engine, one.answered)
-        holders.since[one.engine] = min(held, one.answered)
+            cause = _cause(reading, holders)
+        causes[cause].add(reading.tokens)
+        held = holders.since.get(reading.engine, reading.answered)
+        holders.since[reading.engine] = min(held, reading.answered)
     return causes
 
 
-def _cause(one: Reading, holders: Holders) -> str:
-    here = holders.since.get(one.engine)
-    if here is not None:
-        return 'found here' if here <= one.began else 'being read here'
-    why = 'spilled' if one.spilled else 'by rank'
-    known = 'no holder known' if not one.holders else 'holder known'
-    there = holders.since.get(one.fetched_from)
-    if there is None:
-        return f'read again: {why}, {known}, source never held it'
-    if there > one.began:
-        return f'read again: {why}, {known}, source still reads it'
-    return f'moved: {why}, {known}'
+def _cause(reading: Reading, holders: Holders) -> str:
+    at_engine = holders.since.get(reading.engine)
+    if at_engine is not None:
+        return 'found here' if at_engine <= reading.started else 'being read here'
+    placement_reason = 'spilled' if reading.spilled else 'by rank'
+    holder_status = 'no holder known' if not reading.holders else 'holder known'
+    at_source = holders.since.get(reading.fetched_from)
+    if at_source is None:
+        return f'read again: {placement_reason}, {holder_status}, source never held it'
+    if at_source > reading.started:
+        return f'read again: {placement_reason}, {holder_status}, source still reads it'
+    return f'moved: {placement_reason}, {holder_status}'
 
 
 def failures(lines: Iterable[LogLine]) -> Counter[str]:
-    """Failed calls by what they were told, and attempts by how they ended."""
+    """Count failed calls by the error returned, and attempts by their outcome."""
     counts: Counter[str] = Counter()
     for line in lines:
         if line.event not in ENDS:
@@ -136,7 +136,7 @@
 
 
 def held_before_refusal(lines: Iterable[LogLine]) -> dict[str, list[float]]:
-    """Seconds that calls waited before they were refused, by code."""
+    """Return the seconds that refused calls had waited, by code."""
     waits: dict[str, list[float]] = defaultdict(list)
     for line in lines:
         if line.event == 'call.failed' and line.fields['ran'] == 'no':
@@ -145,7 +145,7 @@
 
 
 def by_window(lines: Iterable[LogLine]) -> dict[int, Counter[str]]:
-    """Ends of calls by what their callers were told, for each window."""
+    """Count ended calls by status for each window."""
     rows: dict[int, Counter[str]] = defaultdict(Counter)
     for line in lines:
         if line.event in ENDS:
--- a/measure/path.py
+++ b/measure/path.py
@@ -1,7 +1,7 @@
-"""The data path through real processes, against a direct connection.
+"""The data path through real processes, compared with direct connections.
 
-Load comes from processes of its own, so that callers do not share a
-processor's time with the boxes more than they must.
+Separate processes generate the load, so that callers compete with the boxes
+for processor time as little as possible.
 """
 
 import itertools
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class StreamTimes:
-    """One stream as its caller saw it, in seconds."""
+    """One stream as its caller saw it: time to the first data and gaps, in seconds."""
 
     first: float
     gaps: list[float]
@@ -43,7 +43,7 @@
 
 
 def body(stream: bool, tokens: int, chat: str) -> bytes:
-    """A chat call."""
+    """Return the body of a chat call."""
     return json.dumps(
         {
             'model': demo.MODEL,
@@ -55,10 +55,10 @@
 
 
 def one_stream(pool: urllib3.PoolManager, url: str, name: str, delay: float) -> StreamTimes:
-    """Open a stream after `delay` and time what comes."""
+    """Open a stream after `delay` seconds and time its data."""
     time.sleep(delay)
     headers = {'Authorization': f'Bearer {demo.KEY}', 'X-Request-Id': name}
-    began = time.perf_counter()
+    started = time.perf_counter()
     response = pool.request(
         'POST',
         f'{url}/v1/chat/completions',
@@ -76,11 +76,11 @@
     if not times:
         return StreamTimes(0.0, [], False)
     gaps = [later - earlier for earlier, later in itertools.pairwise(times)]
-    return StreamTimes(times[0] - began, gaps, whole and response.status == 200)
+    return StreamTimes(times[0] - started, gaps, whole and response.status == 200)
 
 
 def stream_process(work: tuple[list[str], int, int]) -> list[StreamTimes]:
-    """Many streams from one process."""
+    """Open many streams from one process."""
     urls, count, number = work
     pool = urllib3.PoolManager(retries=False, maxsize=count)
     with ThreadPoolExecutor(count) as threads:
@@ -98,7 +98,7 @@
 
 
 def streams(urls: list[str], count: int) -> list[StreamTimes]:
-    """So many streams at once, from a few processes."""
+    """Open `count` streams at once from CALLER_PROCESSES processes."""
     processes = min(CALLER_PROCESSES, count)
     work = [(urls, count // processes, number) for number in range(processes)]
     with get_context('fork').Pool(processes) as pool:
@@ -106,28 +106,28 @@
 
 
 def small_calls(url: str, path: str, data: bytes) -> list[float]:
-    """Seconds of each of many short calls, a few at a time."""
+    """Make many short calls, a few at a time; return the seconds of each."""
     pool = urllib3.PoolManager(retries=False, maxsize=SMALL_THREADS)
     headers = {'Authorization': f'Bearer {demo.KEY}', 'X-Request-Id': 'x'}
 
     def call(_: int) -> float:
-        began = time.perf_counter()
+        started = time.perf_counter()
         answer = pool.request('POST', url + path, body=data, headers=headers)
         assert answer.status == 200, answer.data
-        return time.perf_counter() - began
+        return time.perf_counter() - started
 
     with ThreadPoolExecutor(SMALL_THREADS) as threads:
         return list(threads.map(call, range(SMALL_CALLS)))
 
 
 def processor_seconds(pid: int) -> float:
-    """Processor time that a process has used."""
+    """Return the processor time that a process has used."""
     fields = Path(f'/proc/{pid}/stat').read_text().rpartition(')')[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf('SC_CLK_TCK')
 
 
 def memory_megabytes(pid: int) -> float:
-    """Memory that a process holds."""
+    """Return a process's resident memory."""
     for line in Path(f'/proc/{pid}/status').read_text().splitlines():
         if line.startswith('VmRSS:'):
             return int(line.split()[1]) / 1024
@@ -135,7 +135,7 @@
 
 
 def row(way: str, count: int, found: list[StreamTimes], cores: float, megabytes: float) -> dict:
-    """The figures of one set of streams."""
+    """Return the table row of one set of streams; times in milliseconds."""
     gaps = [gap for item in found for gap in item.gaps]
     firsts = [item.first for item in found]
     return {
@@ -165,7 +165,7 @@
 
 
 def measure() -> None:
-    """Streams and short calls, direct and through one box, in turn."""
+    """Measure streams and short calls, each direct and through one box."""
     rows = []
     with LocalFleet() as fleet:
         fleet.start_platform()
@@ -180,9 +180,9 @@
         direct = [engine.url for engine in engines]
         for count in STREAMS:
             rows.append(row('direct', count, streams(direct, count), 0.0, 0.0))
-            used, began = processor_seconds(box.popen.pid), time.perf_counter()
+            used, started = processor_seconds(box.popen.pid), time.perf_counter()
             found = streams([box.url], count)
-            seconds = time.perf_counter() - began
+            seconds = time.perf_counter() - started
             cores = (processor_seconds(box.popen.pid) - used) / seconds
             rows.append(row('through a box', count, found, cores, memory_megabytes(box.popen.pid)))
         fleet.faults('engine-0', token_seconds=0.0)
@@ -192,9 +192,9 @@
         path = '/v1/chat/completions'
         small_calls(box.url, path, data)
         before = small_calls(engines[0].url, path, data)
-        used, began = processor_seconds(box.popen.pid), time.perf_counter()
+        used, started = processor_seconds(box.popen.pid), time.perf_counter()
         through = small_calls(box.url, path, data)
-        seconds = time.perf_counter() - began
+        seconds = time.perf_counter() - started
         per_call = (processor_seconds(box.popen.pid) - used) / SMALL_CALLS
         calls = SMALL_CALLS / seconds
     ratio = median(through) / median(before)
--- a/measure/placing.py
+++ b/measure/placing.py
@@ -1,4 +1,4 @@
-"""How the ways to place calls compare: reuse, skew, refusals, bytes."""
+"""Compares the placement variants: reuse, skew, refusals, bytes."""
 
 from .fakes import DEPLOYMENTS
 from .policies import BASELINES, CHOSEN, FRONTIER, KNOWLEDGE, POINTS, STEPS
@@ -30,18 +30,18 @@
 )
 
 
-def compare_ways() -> None:
-    """All ways in all scenarios, for both deployments."""
-    calm_only = [way for way in (*STEPS, *KNOWLEDGE) if way is not CHOSEN]
+def compare_variants() -> None:
+    """Run the variants in all scenarios for both deployments."""
+    calm_only = [variant for variant in (*STEPS, *KNOWLEDGE) if variant is not CHOSEN]
     cases = []
     for deployment in DEPLOYMENTS:
-        cases += [(deployment, 'calm', way) for way in calm_only]
+        cases += [(deployment, 'calm', variant) for variant in calm_only]
         for scenario in SCENARIOS:
             ways = (*BASELINES, CHOSEN, POINTS[deployment])
-            cases += [(deployment, scenario, way) for way in ways]
+            cases += [(deployment, scenario, variant) for variant in ways]
     rows = [
-        as_row(figures, deployment=deployment, scenario=scenario, way=way.name)
-        for (deployment, scenario, way), figures in zip(cases, compare(cases), strict=True)
+        as_row(figures, deployment=deployment, scenario=scenario, way=variant.name)
+        for (deployment, scenario, variant), figures in zip(cases, compare(cases), strict=True)
     ]
     parts = ['# Placing calls', ABOUT]
     for deployment in DEPLOYMENTS:
@@ -57,11 +57,11 @@
 
 
 def frontier() -> None:
-    """Reuse against skew, as the two settings move."""
-    cases = [(name, 'churn', way) for name in DEPLOYMENTS for way in FRONTIER]
+    """Measure reuse against skew over the grid of the two settings."""
+    cases = [(name, 'churn', variant) for name in DEPLOYMENTS for variant in FRONTIER]
     rows = [
-        as_row(figures, deployment=deployment, way=way.name, patience=way.patience)
-        for (deployment, _, way), figures in zip(cases, compare(cases), strict=True)
+        as_row(figures, deployment=deployment, way=variant.name, patience=variant.patience)
+        for (deployment, _, variant), figures in zip(cases, compare(cases), strict=True)
     ]
     parts = ['# The frontier of reuse against skew', ABOUT, 'Under churn.']
     for deployment in DEPLOYMENTS:
@@ -77,6 +77,6 @@
 
 
 def save_plot(deployment: str, groups: dict[str, list[dict]]) -> None:
-    """The frontier of one deployment as a picture."""
+    """Plot the frontier of one deployment."""
     title = f'{deployment}: each line is admit_multiple from 1.1 to 1.45, under churn'
     plot_points(f'frontier-{deployment}', groups, 'skew_tokens_p99', 'reuse', title)
--- a/measure/platform_calls.py
+++ b/measure/platform_calls.py
@@ -1,4 +1,4 @@
-"""What a fleet at rest costs the platform, as boxes are added."""
+"""The platform load of an idle fleet, as boxes are added."""
 
 import json
 import time
@@ -25,18 +25,18 @@
 )
 
 
-def page(fleet: LocalFleet, name: str) -> dict:
-    """A page of the platform's stand-in."""
+def read_page(fleet: LocalFleet, name: str) -> dict:
+    """Return a control page of the platform's stand-in."""
     return json.loads(fleet.http.request('GET', f'{fleet.platform.url}/standin/{name}').data)
 
 
 def control_bytes(fleet: LocalFleet, boxes: list[str]) -> int:
-    """Bytes of digests that all boxes have sent."""
+    """Return the bytes of digests that all boxes have sent."""
     return sum(fleet.status(box)['control']['bytes'] for box in boxes)
 
 
-def one(count: int) -> dict:
-    """The figures of a fleet of `count` boxes at rest."""
+def measure_fleet(count: int) -> dict:
+    """Return the figures of an idle fleet of `count` boxes."""
     with LocalFleet() as fleet:
         fleet.start_platform()
         fleet.start_engine('engine-1', 'recipes')
@@ -47,9 +47,9 @@
         for name in names:
             wait_until(lambda name=name: fleet.ready(name), 60, name)
         time.sleep(SETTLE_SECONDS)
-        before, sent = page(fleet, 'counts'), control_bytes(fleet, names)
+        before, sent = read_page(fleet, 'counts'), control_bytes(fleet, names)
         time.sleep(WATCHED_SECONDS)
-        after, waiting = page(fleet, 'counts'), page(fleet, 'waiting')
+        after, waiting = read_page(fleet, 'counts'), read_page(fleet, 'waiting')
         sent = control_bytes(fleet, names) - sent
 
     def rate(*calls: str) -> float:
@@ -68,8 +68,8 @@
 
 
 def measure() -> None:
-    """Fleets of several sizes, one after another."""
-    rows = [one(count) for count in BOXES]
+    """Measure fleets of several sizes, one after another."""
+    rows = [measure_fleet(count) for count in BOXES]
     about = (
         f'Fleets at rest, {WATCHED_SECONDS:g} s each, real processes on loopback.  Reads of the '
         'settings stay flat as boxes are added; each box still watches both lists itself.'
--- a/measure/play_days.sh
+++ b/measure/play_days.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Plays every day of deploy/days on a site and prints what each came to.
+# Runs every day of deploy/days on a site and prints the result of each.
 #   sh measure/play_days.sh BENCH SITE [OPTION ...]     BENCH: the users' program
-# A day that needs contracts that the site does not have is passed over and said.
+# A day that needs contracts that the site does not have is skipped with a message.
 set -eu
 bench="$1"
 site="$2"
--- a/measure/policies.py
+++ b/measure/policies.py
@@ -1,4 +1,4 @@
-"""The ways that are compared: ours, its variants, and the baselines."""
+"""The placement variants that are compared: the chosen rule, its variants, and baselines."""
 
 import random
 from collections.abc import Sequence
@@ -13,7 +13,7 @@
 def hash_alone(
     candidates: Sequence[Candidate], totals, work: Work, policy, hint=None
 ) -> Choice | None:
-    """The first in rank order with a free slot."""
+    """Choose the first engine in rank order with a free slot."""
     for rank, engine in enumerate(candidates):
         if engine.load.requests < engine.slots:
             return Choice(engine.name, rank, True)
@@ -27,7 +27,7 @@
 def least_loaded(
     candidates: Sequence[Candidate], totals, work: Work, policy, hint=None
 ) -> Choice | None:
-    """The one with the fewest tokens of work."""
+    """Choose the engine with the fewest tokens of work per weight."""
     free = [
         (_tokens(engine), rank)
         for rank, engine in enumerate(candidates)
@@ -37,13 +37,13 @@
 
 
 class TwoRandom:
-    """The lighter of two at random."""
+    """Chooses the less loaded of two random engines (power of two choices)."""
 
     def __init__(self, seed: int):
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
 
     def __call__(self, candidates, totals, work, policy, hint=None) -> Choice | None:
-        """Pick, as `choose` does."""
+        """Choose an engine, with the signature of `choose`."""
         free = [
             (rank, engine)
             for rank, engine in enumerate(candidates)
@@ -51,24 +51,24 @@
         ]
         if not free:
             return None
-        pair = [self._chance.choice(free) for _ in range(2)]
+        pair = [self._rng.choice(free) for _ in range(2)]
         rank, engine = min(pair, key=lambda item: _tokens(item[1]))
         return Choice(engine.name, rank, True)
 
 
 @dataclass(frozen=True)
-class Way:
-    """One way to place calls.
+class PlacementVariant:
+    """One variant of placing calls.
 
-    `knowledge` is where a box learns of others' work: `digests` from peers,
-    `exact` for every call, as a granter per engine would know it, `reports`
-    of the engines alone, `report_lag` seconds old.  `admit` is the multiple
-    that admission holds to; `growth` and `floor` as in the settings.
+    `load_source` is the source of other boxes' load: `digests` from peers,
+    `exact` for every call, as a central grant per engine would have it, or
+    `reports` of the engines alone, `report_lag` seconds old.  `admit` is the
+    load multiple for admission; `growth` and `floor` are as in the settings.
     """
 
     name: str
     chooser: str = 'bound'
-    knowledge: str = 'digests'
+    load_source: str = 'digests'
     admit: float = 1.25
     growth: float = 0.25
     floor: int = 2
@@ -80,40 +80,40 @@
     patience: float = 0.1
 
     def make_chooser(self, seed: int):
-        """The rule, as a router takes it."""
-        drawn = partial(choose, rng=random.Random(seed))
-        rules = {'bound': drawn, 'hash': hash_alone, 'least': least_loaded}
+        """Return the chooser function that a router uses."""
+        seeded_choose = partial(choose, rng=random.Random(seed))
+        rules = {'bound': seeded_choose, 'hash': hash_alone, 'least': least_loaded}
         return rules.get(self.chooser) or TwoRandom(seed)
 
 
 BASELINES = (
-    Way('hash alone', 'hash', hints=False),
-    Way('least loaded', 'least', hints=False),
-    Way('two random', 'two', hints=False),
+    PlacementVariant('hash alone', 'hash', hints=False),
+    PlacementVariant('least loaded', 'least', hints=False),
+    PlacementVariant('two random', 'two', hints=False),
 )
-#: What the settings have by default, and how it came about.
-CHOSEN = Way('chosen: digests, patience')
+#: The default settings.
+CHOSEN = PlacementVariant('chosen: digests, patience')
 STEPS = (
-    Way('no patience', patience=0.0),
-    Way('no hint', hints=False),
-    Way('no rise', rising=0.0),
+    PlacementVariant('no patience', patience=0.0),
+    PlacementVariant('no hint', hints=False),
+    PlacementVariant('no rise', rising=0.0),
     CHOSEN,
 )
-#: The same rule, with other knowledge of the load.
+#: The same rule with other sources of load information.
 KNOWLEDGE = (
-    Way('digests 0.15 s, no budget', digest_seconds=0.15, budget=10**9),
-    Way('digests 0.6 s', digest_seconds=0.6),
-    Way('digests 2 s', digest_seconds=2.0),
-    Way('granter per engine', knowledge='exact'),
-    Way('reports alone', knowledge='reports'),
+    PlacementVariant('digests 0.15 s, no budget', digest_seconds=0.15, budget=10**9),
+    PlacementVariant('digests 0.6 s', digest_seconds=0.6),
+    PlacementVariant('digests 2 s', digest_seconds=2.0),
+    PlacementVariant('granter per engine', load_source='exact'),
+    PlacementVariant('reports alone', load_source='reports'),
 )
-#: A point of the frontier for each user: examples/*.yaml hold them.
+#: A point of the frontier for each deployment; examples/*.yaml use them.
 POINTS = {
-    'kusina': Way('kusina: reuse first', admit=1.35, patience=0.2),
-    'port-louis': Way('port-louis: skew first', admit=1.2, patience=0.1),
+    'kusina': PlacementVariant('kusina: reuse first', admit=1.35, patience=0.2),
+    'port-louis': PlacementVariant('port-louis: skew first', admit=1.2, patience=0.1),
 }
 FRONTIER = tuple(
-    Way(f'admit {admit:g}, patience {patience:g}', admit=admit, patience=patience)
+    PlacementVariant(f'admit {admit:g}, patience {patience:g}', admit=admit, patience=patience)
     for admit in (1.1, 1.15, 1.2, 1.25, 1.3, 1.35, 1.4, 1.45)
     for patience in (0.0, 0.1, 0.3)
 )
--- a/measure/report.py
+++ b/measure/report.py
@@ -1,4 +1,4 @@
-"""Tables, JSON and plots of what was measured."""
+"""Tables, JSON and plots of measurements."""
 
 import json
 import platform
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Column:
-    """One column of a table: a field of the rows and how it is written."""
+    """One column of a table: a field of the rows, its title and its format."""
 
     field: str
     title: str
@@ -25,7 +25,7 @@
 
 
 def table(rows: Sequence[dict], columns: Sequence[Column]) -> str:
-    """Rows as a Markdown table."""
+    """Format rows as a Markdown table."""
     lines = [
         '| ' + ' | '.join(column.title for column in columns) + ' |',
         '|' + '---|' * len(columns),
@@ -40,7 +40,7 @@
 
 
 def save(name: str, rows: Sequence[dict], text: str) -> None:
-    """Write a measurement's JSON and its page."""
+    """Write a measurement's JSON file and Markdown page, and print the page."""
     FOLDER.mkdir(parents=True, exist_ok=True)
     value = {'python': platform.python_version(), 'rows': list(rows)}
     (FOLDER / f'{name}.json').write_text(json.dumps(value, indent=1) + '\n', encoding='utf-8')
@@ -49,12 +49,12 @@
 
 
 def as_row(figures: object, **extra) -> dict:
-    """A row of named figures."""
+    """Return the figures as a row, with extra columns."""
     return extra | asdict(figures)
 
 
 def plot_points(name: str, groups: dict[str, list[dict]], x: str, y: str, title: str) -> None:
-    """Points of several groups, each with its label."""
+    """Plot the points of several labelled groups to a PNG file."""
     figure, axes = plt.subplots(figsize=PLOT_INCHES)
     for label, rows in groups.items():
         axes.plot([row[x] for row in rows], [row[y] for row in rows], 'o-', label=label)
--- a/measure/runs.py
+++ b/measure/runs.py
@@ -1,4 +1,4 @@
-"""Many runs side by side, and what each came to."""
+"""Executes many runs in parallel and summarizes each."""
 
 import os
 from collections.abc import Iterable
@@ -6,21 +6,21 @@
 from multiprocessing import get_context
 from statistics import fmean
 
-from .drive import Drive, Tally
 from .fakes import DEPLOYMENTS
-from .policies import Way
+from .policies import PlacementVariant
 from .scenarios import SCENARIOS, SECONDS
+from .simulation import Counts, Simulation
 
 SEEDS = (1, 2, 3)
 
 
 @dataclass(frozen=True)
 class Run:
-    """One run to do."""
+    """The parameters of one run."""
 
     deployment: str
     scenario: str
-    way: Way
+    variant: PlacementVariant
     seed: int
     boxes: int = 8
     engines: int = 10
@@ -30,12 +30,12 @@
 
 @dataclass(frozen=True)
 class Figures:
-    """What a run came to.
+    """The results of a run.
 
-    `reuse` is the part of the tokens that an engine had read before for the
-    chat and that were found in a cache.  Skew is the busiest engine over the
-    mean.  `reading` is the time from a call's arrival to the end of reading
-    its prompt, the wait for a place included, in seconds.
+    `reuse` is the fraction, of the tokens that an engine had read before for the
+    chat, that were found in a cache.  Skew is the load of the busiest engine over
+    the mean.  `reading` is the time from a call's arrival to the end of reading
+    its prompt, queueing included, in seconds.
     """
 
     reuse: float
@@ -56,57 +56,57 @@
 
 
 def quantile(values: list[float], part: float) -> float:
-    """The value below which `part` of all lie; 0 where there are none."""
+    """Return the quantile `part` (0 to 1) of the values; 0 if there are none."""
     if not values:
         return 0.0
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(len(ordered) * part))]
 
 
-def figures_of(tally: Tally, run: Run) -> Figures:
-    """The figures of one run."""
+def compute_figures(counts: Counts, run: Run) -> Figures:
+    """Compute the figures of one run."""
     return Figures(
-        tally.reused / max(1, tally.reusable),
-        quantile(tally.skew_calls, 0.5),
-        quantile(tally.skew_calls, 0.99),
-        quantile(tally.skew_calls, 1.0),
-        quantile(tally.skew_tokens, 0.5),
-        quantile(tally.skew_tokens, 0.99),
-        quantile(tally.skew_tokens, 1.0),
-        sum(tally.refused.values()),
-        tally.spilled / max(1, tally.calls),
-        tally.bytes / run.seconds / run.boxes,
-        tally.bytes / max(1, tally.messages),
-        tally.decision_seconds / max(1, tally.decisions) * 1e6,
-        fmean(tally.reads or [0.0]),
-        quantile(tally.reads, 0.95),
-        tally.calls,
+        counts.reused / max(1, counts.reusable),
+        quantile(counts.skew_calls, 0.5),
+        quantile(counts.skew_calls, 0.99),
+        quantile(counts.skew_calls, 1.0),
+        quantile(counts.skew_tokens, 0.5),
+        quantile(counts.skew_tokens, 0.99),
+        quantile(counts.skew_tokens, 1.0),
+        sum(counts.refused.values()),
+        counts.spilled / max(1, counts.calls),
+        counts.bytes / run.seconds / run.boxes,
+        counts.bytes / max(1, counts.messages),
+        counts.decision_seconds / max(1, counts.decisions) * 1e6,
+        fmean(counts.reads or [0.0]),
+        quantile(counts.reads, 0.95),
+        counts.calls,
     )
 
 
-def do(run: Run) -> Figures:
-    """One run, from start to end."""
-    drive = Drive(
-        run.way,
+def execute_run(run: Run) -> Figures:
+    """Execute one run."""
+    simulation = Simulation(
+        run.variant,
         DEPLOYMENTS[run.deployment],
         run.seed,
         run.boxes,
         run.engines,
         run.scale,
     )
-    SCENARIOS[run.scenario](drive)
-    return figures_of(drive.run(run.seconds), run)
+    SCENARIOS[run.scenario](simulation)
+    return compute_figures(simulation.run(run.seconds), run)
 
 
-def do_all(runs: list[Run]) -> list[Figures]:
-    """All runs, as many at once as there are processors but one."""
+def execute_runs(runs: list[Run]) -> list[Figures]:
+    """Execute all runs in parallel, on all processors but one."""
     workers = max(1, (os.cpu_count() or 2) - 1)
     with get_context('fork').Pool(workers) as pool:
-        return pool.map(do, runs, chunksize=1)
+        return pool.map(execute_run, runs, chunksize=1)
 
 
-def over_seeds(figures: Iterable[Figures]) -> Figures:
-    """Means over seeds; worst samples stay the worst, refusals add up."""
+def merge_seeds(figures: Iterable[Figures]) -> Figures:
+    """Merge figures over seeds: means, but the maximum of `_worst` and sums of counts."""
     rows = [asdict(item) for item in figures]
     merged = {}
     for name in rows[0]:
@@ -120,13 +120,13 @@
     return Figures(**merged)
 
 
-def compare(cases: list[tuple[str, str, Way]], **sizes) -> list[Figures]:
-    """Figures of each case (deployment, scenario, way) over all seeds."""
+def compare(cases: list[tuple[str, str, PlacementVariant]], **sizes) -> list[Figures]:
+    """Return the figures of each case (deployment, scenario, variant) over all seeds."""
     runs = [
-        Run(deployment, scenario, way, seed, **sizes)
-        for deployment, scenario, way in cases
+        Run(deployment, scenario, variant, seed, **sizes)
+        for deployment, scenario, variant in cases
         for seed in SEEDS
     ]
-    done = do_all(runs)
+    done = execute_runs(runs)
     count = len(SEEDS)
-    return [over_seeds(done[at : at + count]) for at in range(0, len(done), count)]
+    return [merge_seeds(done[at : at + count]) for at in range(0, len(done), count)]
--- a/measure/scenarios.py
+++ b/measure/scenarios.py
@@ -1,8 +1,8 @@
-"""What happens to the fleet in a run; each is a function of a Drive."""
+"""The events of a run; each scenario is a function that schedules them in a Simulation."""
 
 from collections.abc import Callable
 
-from .drive import Drive
+from .simulation import Simulation
 
 SECONDS = 90.0
 CHURN_SECONDS = 12.0
@@ -10,70 +10,72 @@
 FLAP_DOWN_SECONDS = 2.0
 FAILS_AT = 35.0
 BACK_AT = 65.0
-RUSH_TIMES = 2.0
+RUSH_MULTIPLE = 2.0
 LIST_LAG_MAX = 4.0
 
 
-def calm(drive: Drive) -> None:
+def calm(simulation: Simulation) -> None:
     """Nothing happens."""
 
 
-def rush(drive: Drive) -> None:
+def rush(simulation: Simulation) -> None:
     """Twice the calls for half a minute: a dinner rush, a deadline."""
-    usual = drive.rate
+    usual = simulation.rate
 
     def set_rate(rate: float) -> None:
-        drive.rate = rate
+        simulation.rate = rate
 
-    drive.at(FAILS_AT, set_rate, usual * RUSH_TIMES)
-    drive.at(BACK_AT, set_rate, usual)
+    simulation.at(FAILS_AT, set_rate, usual * RUSH_MULTIPLE)
+    simulation.at(BACK_AT, set_rate, usual)
 
 
-def churn(drive: Drive) -> None:
+def churn(simulation: Simulation) -> None:
     """Every few seconds an engine leaves and a new one joins."""
 
     def swap(number: int) -> None:
         old = f'engine-{number}'
-        drive.drain_engine(old)
-        drive.add_engine(f'engine-{number + 100}', drive.engines[old].domain, drive.cache_tokens)
-        drive.publish()
-        drive.at(drive.now + CHURN_SECONDS, swap, number + 1)
+        simulation.drain_engine(old)
+        simulation.add_engine(
+            f'engine-{number + 100}', simulation.engines[old].domain, simulation.cache_tokens
+        )
+        simulation.publish()
+        simulation.at(simulation.now + CHURN_SECONDS, swap, number + 1)
 
-    drive.at(CHURN_SECONDS, swap, 0)
+    simulation.at(CHURN_SECONDS, swap, 0)
 
 
-def flap(drive: Drive) -> None:
-    """One engine dies and starts anew, again and again."""
+def flap(simulation: Simulation) -> None:
+    """One engine fails and restarts repeatedly."""
 
     def down() -> None:
-        drive.take_down('engine-0')
-        drive.at(drive.now + FLAP_DOWN_SECONDS, drive.bring_up, 'engine-0')
-        drive.at(drive.now + FLAP_SECONDS, down)
+        simulation.take_down('engine-0')
+        simulation.at(simulation.now + FLAP_DOWN_SECONDS, simulation.bring_up, 'engine-0')
+        simulation.at(simulation.now + FLAP_SECONDS, down)
 
-    drive.at(FLAP_SECONDS, down)
+    simulation.at(FLAP_SECONDS, down)
 
 
-def disagree(drive: Drive) -> None:
-    """Churn, while each box's list is behind by another time."""
-    for number, name in enumerate(sorted(drive.list_lag)):
-        drive.list_lag[name] = LIST_LAG_MAX * number / len(drive.list_lag)
-    churn(drive)
+def disagree(simulation: Simulation) -> None:
+    """Churn, while each box's list lags by a different time."""
+    for number, name in enumerate(sorted(simulation.list_lag)):
+        simulation.list_lag[name] = LIST_LAG_MAX * number / len(simulation.list_lag)
+    churn(simulation)
 
 
-def lost_box(drive: Drive) -> None:
-    """A box dies; nobody knows any more of what it had in flight."""
-    drive.at(FAILS_AT, drive.lose_box, 'box-3')
+def lost_box(simulation: Simulation) -> None:
+    """A box fails; the record of its calls in flight is lost."""
+    simulation.at(FAILS_AT, simulation.crash_box, 'box-3')
 
 
-def lost_domain(drive: Drive) -> None:
-    """All engines of one failure domain die, and come back empty."""
-    for engine in list(drive.engines.values()):
+def lost_domain(simulation: Simulation) -> None:
+    """All engines of one failure domain fail and restart with empty caches."""
+    for engine in list(simulation.engines.values()):
         if engine.domain == 'domain-0':
-            drive.at(FAILS_AT, drive.take_down, engine.name)
-            drive.at(BACK_AT, drive.bring_up, engine.name)
+            simulation.at(FAILS_AT, simulation.take_down, engine.name)
+            simulation.at(BACK_AT, simulation.bring_up, engine.name)
 
 
-SCENARIOS: dict[str, Callable[[Drive], None]] = {
+SCENARIOS: dict[str, Callable[[Simulation], None]] = {
     'calm': calm,
     'rush': rush,
     'churn': churn,
--- a/measure/slopes.py
+++ b/measure/slopes.py
@@ -1,4 +1,4 @@
-"""What one more of each thing costs a box: time and memory, by slopes."""
+"""The marginal cost of each item to a box, in time, bytes and memory."""
 
 import gc
 import itertools
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Slope:
-    """One cost at two sizes, and what one more adds."""
+    """A cost at two sizes and its slope."""
 
     what: str
     unit: str
@@ -40,25 +40,25 @@
 
     @property
     def each(self) -> float:
-        """What one more costs."""
+        """The cost of one more item."""
         return (self.at_large - self.at_small) / (self.large - self.small)
 
 
 def best_time(work: Callable[[], None]) -> float:
-    """Seconds of the fastest of some repeats."""
+    """Return the seconds of the fastest of REPEATS repeats."""
     times = []
     for _ in range(REPEATS):
-        began = time.perf_counter()
+        started = time.perf_counter()
         work()
-        times.append(time.perf_counter() - began)
+        times.append(time.perf_counter() - started)
     return min(times)
 
 
-def memory_of(make: Callable[[], object]) -> float:
-    """Bytes that what `make` gives holds."""
+def memory_of(create: Callable[[], object]) -> float:
+    """Return the bytes allocated by the result of `create`."""
     gc.collect()
     tracemalloc.start()
-    kept = make()
+    kept = create()
     gc.collect()
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
@@ -67,7 +67,7 @@
 
 
 def router_with(engines: int, boxes: int = 1) -> Router:
-    """A box that knows so many engines and peers."""
+    """Return the router of a box with this many engines and boxes listed."""
     router = Router('box-0', '1')
     router.set_boxes([Box(f'box-{number}', f'10.0.0.1:{number}') for number in range(boxes)], 0.0)
     listed = [
@@ -79,7 +79,7 @@
 
 
 def decide(engines: int) -> float:
-    """Microseconds for a call's admission, end and closing."""
+    """Measure a call's admission, end and closing, in microseconds."""
     router = router_with(engines)
     numbers = iter(range(10**9))
 
@@ -98,18 +98,18 @@
 
 
 def digest_of(engines: int) -> Digest:
-    """A digest with work at so many engines."""
+    """Return a digest with work at this many engines."""
     loads = {f'engine-{number}': Work(2, 1500) for number in range(engines)}
     return Digest('box-0', 'abcdef', loads=loads, seq=900, base=899, ack=900)
 
 
 def digest_bytes(engines: int) -> float:
-    """Bytes of a digest, headers and acknowledgement counted."""
+    """Return the bytes of a digest, headers and acknowledgement included."""
     return float(EncodedDigest(digest_of(engines)).size)
 
 
 def event_bytes(events: int) -> float:
-    """Bytes of a digest with so many events."""
+    """Return the bytes of a digest with this many events."""
     found = [
         Event(EventKind.ENGINE_LEAVING, f'engine-{number:05d}', 'a1b2c3d4', 'box-1234')
         for number in range(events)
@@ -118,26 +118,24 @@
     return float(EncodedDigest(digest).size)
 
 
-def hear(engines: int) -> float:
-    """Microseconds to make, encode and hear a digest of changed loads."""
+def receive_digests(engines: int) -> float:
+    """Measure building, encoding and receiving a digest of changed loads, in microseconds."""
     router = router_with(engines, boxes=2)
-    chance = random.Random(1)
+    rng = random.Random(1)
     numbers = itertools.count(1)
 
-    def hear_many() -> None:
+    def receive_many() -> None:
         for step in range(100):
-            loads = {
-                f'engine-{number}': Work(chance.randint(1, 3), 1500) for number in range(engines)
-            }
+            loads = {f'engine-{number}': Work(rng.randint(1, 3), 1500) for number in range(engines)}
             digest = Digest('box-1', 'x', loads=loads, seq=next(numbers))
             EncodedDigest(digest)
             router.receive_digest(digest, float(step))
 
-    return best_time(hear_many) / 100 * 1e6
+    return best_time(receive_many) / 100 * 1e6
 
 
 def settings_of(workspaces: int) -> ActiveSettings:
-    """Settings in force with so many workspaces of three services."""
+    """Return active settings with this many workspaces of three services."""
     state = ActiveSettings()
     services = {f's{number}': {'kind': 'model', 'models': [f'm{number}']} for number in range(15)}
     state.offer(Candidate(FLEET_OBJECT, 1, 'e', {'services': services}))
@@ -152,7 +150,7 @@
 
 
 def step_settings(workspaces: int) -> float:
-    """Microseconds for one object's step to a newer version."""
+    """Measure one object's update to a newer version, in microseconds."""
     state = settings_of(workspaces)
     revisions = iter(range(2, 10**9))
 
@@ -166,7 +164,7 @@
 
 
 def claims_bytes(claims: int) -> float:
-    """Bytes of a bucket object with so many claims."""
+    """Return the bytes of a bucket object with this many claims."""
     import json
 
     held = {
@@ -179,21 +177,21 @@
 
 
 def tickets_memory(count: int) -> float:
-    """Bytes that open tickets hold."""
-    return memory_of(lambda: _book(count))
+    """Return the memory of open tickets, in bytes."""
+    return memory_of(lambda: _store_with_tickets(count))
 
 
-def _book(count: int) -> TicketStore:
-    book = TicketStore('box-0', 'abcdef', max_tickets=10**6)
-    book.issue('workspace', count, 900.0, 0.0)
-    return book
+def _store_with_tickets(count: int) -> TicketStore:
+    store = TicketStore('box-0', 'abcdef', max_tickets=10**6)
+    store.issue('workspace', count, 900.0, 0.0)
+    return store
 
 
 SLOPES = (
     ('a decision, per engine of the service', 'us', decide, 64, 2048),
     ('a digest, per engine with changed work', 'bytes', digest_bytes, 10, 500),
     ('a digest, per event', 'bytes', event_bytes, 0, 8),
-    ('making and hearing a digest, per engine', 'us', hear, 10, 500),
+    ('making and hearing a digest, per engine', 'us', receive_digests, 10, 500),
     ('a settings step, per workspace', 'us', step_settings, 10, 470),
     ('a claims object, per claim', 'bytes', claims_bytes, 100, 4000),
     ('memory, per engine known', 'bytes', lambda n: memory_of(lambda: router_with(n)), 100, 5000),
@@ -225,12 +223,12 @@
 
 
 def measure() -> None:
-    """All slopes, one after another."""
+    """Measure all slopes, one after another."""
     rows = []
     for what, unit, cost, small, large in SLOPES:
         slope = Slope(what, unit, small, large, cost(small), cost(large))
         rows.append(slope.__dict__ | {'each': slope.each})
-    # Usage is what a digest carries for each workspace with a limit.
+    # A digest carries the usage of each workspace with a limit.
     usage = Digest('box-0', 'x', base=1, usage={hash32('w'): Usage(Work(3, 2000), 4.0)})
     empty = Digest('box-0', 'x', base=1)
     each = EncodedDigest(usage).size - EncodedDigest(empty).size
--- a/measure/start.py
+++ b/measure/start.py
@@ -1,4 +1,4 @@
-"""What a start costs: processor time and memory until a box's modules are loaded."""
+"""The cost of a start: processor time and memory to load a box's modules."""
 
 import os
 import subprocess
@@ -9,7 +9,7 @@
 from .report import Column, save, table
 
 RUNS = 9
-#: What is loaded, one after another: each line holds all that stands above it.
+#: The cumulative steps of loading: each includes all steps above it.
 STEPS = (
     ('the interpreter', 'pass'),
     ('messages and settings', 'import seamhold_settings'),
@@ -34,7 +34,7 @@
 
 
 class Start(Struct, frozen=True):
-    """One step: milliseconds, modules, and megabytes that no file backs."""
+    """One step: processor milliseconds, modules, and megabytes of anonymous memory."""
 
     what: str
     best: float
@@ -43,27 +43,27 @@
     memory: float
 
 
-def one(what: str, code: str) -> Start:
-    """The figures of loading `code` in a process of its own, collection off."""
+def measure_step(what: str, code: str) -> Start:
+    """Measure loading `code` in a new process with garbage collection off."""
     lines = ('import gc', 'gc.disable()', code, *LAST_LINES)
-    times, told = [], ''
+    times, output = [], ''
     for _ in range(RUNS):
         before = os.times()
         run = [sys.executable, '-c', '\n'.join(lines)]
-        told = subprocess.run(run, check=True, capture_output=True, text=True).stdout
+        output = subprocess.run(run, check=True, capture_output=True, text=True).stdout
         after = os.times()
         spent = after.children_user + after.children_system
         times.append((spent - before.children_user - before.children_system) * 1000)
     times.sort()
-    modules, kilobytes = map(int, told.split())
+    modules, kilobytes = map(int, output.split())
     return Start(what, times[0], times[RUNS // 2], modules, kilobytes / 1024)
 
 
 def measure() -> None:
-    """Each step, one after another."""
+    """Measure each step, one after another."""
     code, rows = [], []
     for what, step in STEPS:
         code.append(step)
-        rows.append(to_builtins(one(what, '\n'.join(code))))
+        rows.append(to_builtins(measure_step(what, '\n'.join(code))))
     about = 'Each row holds what stands above it; a process of its own each time.'
     save('start', rows, '\n\n'.join(['# What a start loads', about, table(rows, COLUMNS)]))
