--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,7 +1,7 @@
-"""Tests of all packages; `python -m tests` runs them.
+"""Tests of all packages; run them with `python -m tests`.
 
-Hypothesis runs the same examples every time; HYPOTHESIS_PROFILE=explore
-looks for new ones.
+Hypothesis uses the same examples in every run; HYPOTHESIS_PROFILE=explore
+generates new ones.
 """
 
 import os
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,7 +1,7 @@
-"""Runs the tests, and says at the end how many passed and failed.
+"""Runs the tests and prints how many passed and failed.
 
-A test that KNOWN-RED.txt lists (`test id: cause, issue`) may fail; it is
-printed, and nothing else is passed over.
+A test that KNOWN-RED.txt lists (`test id: cause, issue`) may fail; its
+failure is printed.  Any other failure makes the run fail.
 """
 
 import sys
@@ -16,7 +16,7 @@
 
 
 def known_red() -> dict[str, str]:
-    """Ids of tests that are known to fail, with the cause."""
+    """Return the ids of tests that are known to fail, with the cause."""
     if not KNOWN_RED.exists():
         return {}
     lines = filter(None, map(str.strip, KNOWN_RED.read_text().splitlines()))
@@ -24,9 +24,9 @@
 
 
 def find_tests(names: list[str]) -> unittest.TestSuite:
-    """The tests named, or all; those of the dialect lie beside it."""
+    """Load the tests named, or all, including the dialect's in platform/dialect_tests."""
     loader = unittest.TestLoader()
-    # Their folder is no package: it would shadow a module of the library.
+    # platform/ is not a package: its name would shadow the standard library's module.
     sys.path.insert(0, str(ROOT / 'platform'))
     if names:
         return loader.loadTestsFromNames(names)
@@ -39,7 +39,7 @@
 
 
 def run(names: list[str]) -> int:
-    """Run all tests, or the modules named; the exit status."""
+    """Run all tests, or those named; return the exit status."""
     suite = find_tests(names)
     result = testtools.TextTestResult(sys.stdout, failfast=False)
     result.startTestRun()
--- a/tests/utils/__init__.py
+++ b/tests/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers of the tests."""
+"""Test helpers."""
