--- a/scenarios/__init__.py
+++ b/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted failures over real processes, in Gherkin."""
+"""Behave scenarios that inject failures into real processes."""
--- a/scenarios/at_most_once.feature
+++ b/scenarios/at_most_once.feature
@@ -1,23 +1,23 @@
-Feature: A call that may not be repeated runs at most once, and refusals are true
-  The proof reads the engines' ledgers, not the routers' word.
+Feature: A call that may not be repeated runs at most once, and every refusal states truthfully whether it ran
+  The steps check the engines' ledgers, not what the routers report.
 
   Scenario: A ticketed call sent to two boxes at once
     Given 3 boxes and 2 slow engines
-    When "box-1" gives ticket "T"
+    When "box-1" issues ticket "T"
     And these calls are sent
       | call | box   | mark | ticket | route        |
       | a    | box-2 | once | T      | substitution |
       | b    | box-3 | once | T      | substitution |
-    Then exactly one of "a" and "b" is answered whole
+    Then exactly one of "a" and "b" gets a complete answer
     And the engines ran "once" 1 time
 
   Scenario: The box that holds the ticket is killed while the call runs
     Given 2 boxes and 2 slow engines
-    When "box-1" gives ticket "T"
+    When "box-1" issues ticket "T"
     And these calls are sent
       | call  | box   | mark | ticket | tokens |
       | first | box-1 | once | T      | 30     |
-    And an engine has begun call "once"
+    And an engine has started call "once"
     And "box-1" is killed
     And these calls are sent one by one
       | call  | box   | mark | ticket |
@@ -27,29 +27,29 @@
 
   Scenario: The box that held the ticket is killed and started again
     Given 2 boxes and 2 engines
-    When "box-1" gives ticket "T"
+    When "box-1" issues ticket "T"
     And these calls are sent one by one
       | call  | box   | mark | ticket |
       | first | box-1 | once | T      |
     And "box-1" is killed
     And "box-1" is started again
-    And "box-2" knows that "box-1" started anew
+    And "box-2" knows that "box-1" restarted
     And these calls are sent one by one
       | call  | box   | mark | ticket |
       | there | box-1 | once | T      |
       | other | box-2 | once | T      |
-    Then call "first" is answered whole
+    Then call "first" gets a complete answer
     And call "there" is refused as "ticket_unknown", ran "unknown"
     And call "other" is refused as "ticket_unknown", ran "unknown"
     And the engines ran "once" 1 time
 
   Scenario: A box freezes with a ticketed call in its queue, and goes on
     Given 2 boxes and 1 slow engines with 1 slots
-    When "box-1" gives ticket "T"
+    When "box-1" issues ticket "T"
     And these calls are sent
       | call | box   | mark | tokens |
       | full | box-2 | full | 20     |
-    And an engine has begun call "full"
+    And an engine has started call "full"
     And these calls are sent
       | call  | box   | mark | ticket | timeout |
       | first | box-1 | once | T      | 4       |
@@ -59,25 +59,25 @@
       | call  | box   | mark | ticket | timeout |
       | again | box-2 | once | T      | 4       |
     And 6 s pass
-    And "box-1" goes on
+    And "box-1" resumes
     Then call "again" is refused, ran "unknown"
     And the engines ran "once" at most once
-    And whoever was told that "once" did not run was told the truth
+    And every report that "once" did not run is true
 
   Scenario: A box freezes while a ticketed call runs, and goes on
     Given 2 boxes and 2 slow engines
-    When "box-1" gives ticket "T"
+    When "box-1" issues ticket "T"
     And these calls are sent
       | call  | box   | mark | ticket | stream | tokens |
       | first | box-1 | once | T      | yes    | 30     |
-    And an engine has begun call "once"
+    And an engine has started call "once"
     And "box-1" freezes
     And these calls are sent
       | call  | box   | mark | ticket | timeout |
       | again | box-2 | once | T      | 2       |
     And 4 s pass
-    And "box-1" goes on
-    Then call "first" is answered whole
+    And "box-1" resumes
+    Then call "first" gets a complete answer
     And call "again" is refused, ran "unknown"
     And the engines ran "once" 1 time
 
@@ -87,7 +87,7 @@
       | call | box   | mark | key | route        |
       | a    | box-1 | once | k-1 | substitution |
       | b    | box-2 | once | k-1 | substitution |
-    Then exactly one of "a" and "b" is answered whole
+    Then exactly one of "a" and "b" gets a complete answer
     And the engines ran "once" 1 time
 
   Scenario: A key is used again after its box was killed
@@ -95,7 +95,7 @@
     When these calls are sent
       | call  | box   | mark | key | route        | tokens |
       | first | box-1 | once | k-1 | substitution | 30     |
-    And an engine has begun call "once"
+    And an engine has started call "once"
     And "box-1" is killed
     And these calls are sent one by one
       | call  | box   | mark | key | route        | tokens |
@@ -103,17 +103,17 @@
     Then call "again" is refused as "key_in_use", ran "unknown"
     And the engines ran "once" 1 time
 
-  Scenario: The platform is out: keys are refused, tickets work
+  Scenario: The platform is down: keys are refused, tickets work
     Given 2 boxes and 2 engines
-    When "box-1" gives ticket "T"
-    And the platform is out
+    When "box-1" issues ticket "T"
+    And the platform is down
     And these calls are sent one by one
       | call   | box   | mark   | key | ticket | route        |
       | keyed  | box-1 | keyed  | k-1 |        | substitution |
       | ticket | box-2 | ticket |     | T      | substitution |
     Then call "keyed" is refused as "claims_unavailable", ran "no"
     And the engines ran "keyed" 0 times
-    And call "ticket" is answered whole
+    And call "ticket" gets a complete answer
     And the engines ran "ticket" 1 time
 
   Scenario: A claim is written but the answer is lost
@@ -123,7 +123,7 @@
       | call  | box   | mark | key | route        |
       | first | box-1 | once | k-1 | substitution |
       | again | box-2 | once | k-1 | substitution |
-    Then call "first" is answered whole
+    Then call "first" gets a complete answer
     And call "again" is refused as "key_in_use", ran "unknown"
     And the engines ran "once" 1 time
 
@@ -135,7 +135,7 @@
       | a    | box-1 | once | k-1 | substitution |
       | b    | box-2 | once | k-1 | substitution |
     Then the engines ran "once" at most once
-    And whoever was told that "once" did not run was told the truth
+    And every report that "once" did not run is true
 
   Scenario: A key comes back with another body
     Given 1 boxes and 1 engines
@@ -143,7 +143,7 @@
       | call  | box   | mark  | key | route        |
       | first | box-1 | first | k-1 | substitution |
       | other | box-1 | other | k-1 | substitution |
-    Then call "first" is answered whole
+    Then call "first" gets a complete answer
     And call "other" is refused as "key_mismatch", ran "unknown"
     And the engines ran "other" 0 times
 
@@ -162,7 +162,7 @@
     When these calls are sent one by one
       | call | box   | mark  |
       | a    | box-1 | again |
-    Then call "a" is answered whole
+    Then call "a" gets a complete answer
     And the engines ran "again" 2 times
 
   Scenario: An engine dies in the middle of a stream that may be repeated
@@ -171,7 +171,7 @@
     When these calls are sent one by one
       | call | box   | mark  | stream | tokens |
       | a    | box-1 | again | yes    | 12     |
-    Then call "a" is answered whole
+    Then call "a" gets a complete answer
     And call "a" has all its 12 tokens, each once and in order
 
   Scenario: An engine dies in the middle of a stream that may not be repeated
@@ -180,17 +180,17 @@
     When these calls are sent one by one
       | call | box   | mark | stream | route        |
       | a    | box-1 | once | yes    | substitution |
-    Then call "a" is broken off
+    Then call "a" gets no complete answer
     And call "a" is refused as "answer_cut", ran "unknown"
     And the engines ran "once" 1 time
 
-  Scenario: A stream that ends without its end is not passed on as whole
+  Scenario: A stream without its end marker is not passed on as complete
     Given 1 boxes and 1 engines
     And every engine will end its streams early
     When these calls are sent one by one
       | call | box   | mark | stream | route        |
       | a    | box-1 | once | yes    | substitution |
-    Then call "a" is broken off
+    Then call "a" gets no complete answer
     And call "a" is refused as "answer_cut", ran "unknown"
     And the engines ran "once" 1 time
 
@@ -229,14 +229,14 @@
       | call | box   | mark | route        | key |
       | b    | box-1 | once | substitution | k-1 |
     Then call "a" is refused, ran "no"
-    And call "b" is answered whole
+    And call "b" gets a complete answer
     And the engines ran "once" 1 time
 
-  Scenario: A caller leaves in the middle of a stream
+  Scenario: A caller disconnects in the middle of a stream
     Given 1 boxes and 1 slow engines
     When these calls are sent
       | call | box   | mark | stream | tokens |
       | a    | box-1 | gone | yes    | 100    |
-    And an engine has begun call "gone"
-    And the caller of "a" leaves
+    And an engine has started call "gone"
+    And the caller of "a" disconnects
     Then the engine cancelled call "gone"
--- a/scenarios/environment.py
+++ b/scenarios/environment.py
@@ -1,4 +1,4 @@
-"""What behave does around each scenario."""
+"""Behave hooks: each scenario gets a fleet of its own."""
 
 from scenarios.world import World
 
--- a/scenarios/load.py
+++ b/scenarios/load.py
@@ -1,4 +1,4 @@
-"""Callers behind a balancer: each call goes to a box that says it is ready."""
+"""Callers behind a load balancer: each call goes to a box that reports ready."""
 
 import itertools
 import threading
@@ -6,13 +6,13 @@
 
 import urllib3
 
-from scenarios.world import Sent, World
+from scenarios.world import CallRecord, World
 
 CHECK_SECONDS = 0.1
 
 
 class Load:
-    """Callers that go on until told to stop; each waits for its answer."""
+    """Closed-loop callers that call until they are stopped."""
 
     def __init__(self, world: World, callers: int, **options):
         self._world = world
@@ -20,33 +20,33 @@
         self._options = options
         self._stopped = threading.Event()
         self._ready: list[str] = []
-        self._number = itertools.count()
-        self.done: list[Sent] = []
+        self._numbers = itertools.count()
+        self.records: list[CallRecord] = []
         self._threads = [
-            threading.Thread(target=self._call_on, daemon=True) for _ in range(callers)
+            threading.Thread(target=self._call_until_stopped, daemon=True) for _ in range(callers)
         ]
-        self._checker = threading.Thread(target=self._check_on, daemon=True)
+        self._checker = threading.Thread(target=self._check_until_stopped, daemon=True)
 
     def start(self) -> None:
-        """Begin to check boxes and to call."""
-        self._check()
+        """Start the readiness checks and the callers."""
+        self._check_ready_boxes()
         self._checker.start()
         for thread in self._threads:
             thread.start()
 
-    def stop(self) -> list[Sent]:
-        """Let the last calls end; all that were made."""
+    def stop(self) -> list[CallRecord]:
+        """Wait for the calls in flight; return all calls that were made."""
         self._stopped.set()
         for thread in self._threads:
             thread.join(60)
-        return self.done
+        return self.records
 
-    def _check_on(self) -> None:
+    def _check_until_stopped(self) -> None:
         while not self._stopped.is_set():
-            self._check()
+            self._check_ready_boxes()
             time.sleep(CHECK_SECONDS)
 
-    def _check(self) -> None:
+    def _check_ready_boxes(self) -> None:
         fleet = self._world.fleet
         ready = []
         for process in list(fleet.processes.values()):
@@ -60,14 +60,14 @@
                 continue
         self._ready = ready
 
-    def _call_on(self) -> None:
+    def _call_until_stopped(self) -> None:
         while not self._stopped.is_set():
-            number = next(self._number)
+            number = next(self._numbers)
             ready = self._ready
             if not ready:
                 time.sleep(CHECK_SECONDS)
                 continue
             mark = f'load-{number}'
-            sent = Sent(mark, mark)
-            self._world.call(sent, ready[number % len(ready)], self._options)
-            self.done.append(sent)
+            record = CallRecord(mark, mark)
+            self._world.call(record, ready[number % len(ready)], self._options)
+            self.records.append(record)
--- a/scenarios/mutants.py
+++ b/scenarios/mutants.py
@@ -1,7 +1,8 @@
-"""Shows that the scenarios can fail: each mechanism is switched off in turn.
+"""Mutation tests of the scenarios: disables each mechanism in turn.
 
-`python -m scenarios.mutants` copies the packages, breaks one line in the
-copy, and runs the scenario that must notice.  Leaves with 1 if one does not.
+`python -m scenarios.mutants` copies the packages, changes the code of one
+mechanism in the copy, and runs the scenario that must fail.  Exits with
+status 1 if a scenario does not fail.
 """
 
 import os
@@ -14,13 +15,13 @@
 
 ROOT = Path(__file__).parent.parent
 RUN_SECONDS = 180
-#: How behave shows a step that failed, or that waited in vain.
+#: Behave's output for a step that failed or timed out.
 FAILED_MARKS = ('FAILURE in step', 'FleetError: waited')
 
 
 @dataclass(frozen=True)
 class Edit:
-    """One text of a file and what takes its place."""
+    """A text in a file and its replacement."""
 
     file: str
     old: str
@@ -29,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Mutant:
-    """One mechanism switched off, and the scenario that must fail for it."""
+    """A disabled mechanism and the scenario that must fail without it."""
 
     name: str
     file: str
@@ -40,14 +41,14 @@
 
     @property
     def edits(self) -> tuple[Edit, ...]:
-        """All that is changed."""
+        """All edits of the mutant."""
         return (Edit(self.file, self.old, self.new), *self.also)
 
 
 RUNNER = 'router/seamhold/runner.py'
 MUTANTS = (
     Mutant(
-        'a used ticket is not looked at',
+        'the state of a ticket is not checked',
         'attempts/seamhold_attempts/tickets.py',
         'if state is not TicketState.OPEN:',
         'if False:',
@@ -68,14 +69,14 @@
         'An engine dies before the first token of a call that may not be repeated',
     ),
     Mutant(
-        'the end of a stream is not looked for',
+        'the end marker of a stream is not required',
         'router/seamhold/runner.py',
         'if not watch.end():',
         'if False:',
-        'A stream that ends without its end is not passed on as whole',
+        'A stream without its end marker is not passed on as complete',
     ),
     Mutant(
-        'the id of an answer is not looked at',
+        'the request id of an answer is not checked',
         'router/seamhold/engines.py',
         'if headers.get(REQUEST_ID_HEADER) != request.request_id and status < 400:',
         'if False:',
@@ -89,32 +90,32 @@
         'An engine dies in the middle of a stream that may be repeated',
     ),
     Mutant(
-        'a key is not given back',
+        'a key is not released',
         'router/seamhold/guards.py',
         'self._writer.send(\n            ReleaseClaim',
         'str(\n            ReleaseClaim',
         'A key may be used again after the engines refused',
     ),
     Mutant(
-        'a caller that leaves cancels nothing',
+        'a disconnected caller cancels nothing',
         'router/seamhold/engines.py',
         '            self._response.close()\n        self._response.release_conn()',
         '            self._response.drain_conn()',
-        'A caller leaves in the middle of a stream',
+        'A caller disconnects in the middle of a stream',
     ),
     Mutant(
         'an outage lets keyed calls run',
         'router/seamhold/guards.py',
         'if not self._run_unclaimed:',
         'if False:',
-        'The platform is out: keys are refused, tickets work',
+        'The platform is down: keys are refused, tickets work',
     ),
     Mutant(
-        'the load bound is not looked at',
+        'the load bound is not checked',
         'placement/seamhold_placement/bound.py',
         'if after.requests > calls_bound or after.tokens > tokens_bound:',
         'if False:',
-        'A rush of one chat is spread',
+        'A surge of one chat is spread',
         also=(
             Edit(
                 'placement/seamhold_placement/bound.py',
@@ -128,10 +129,10 @@
         'limits/seamhold_limits/workspaces.py',
         'return after <= min(shares[self.me], limit - others)',
         'return after <= limit',
-        'A workspace that surges does not harm its neighbour',
+        'A workspace that surges does not harm another workspace',
     ),
     Mutant(
-        'priorities are not looked at',
+        'priorities are ignored',
         'limits/seamhold_limits/queue.py',
         'return (max(0, waiting.call.priority - promoted), waiting.start, waiting.at)',
         'return waiting.at',
@@ -143,7 +144,7 @@
         'if waiting.call.deadline <= now',
         'if False',
         'A call whose time runs out in the queue is not run',
-        # The request's own thread keeps the deadline too.
+        # The request's own thread enforces the deadline too.
         also=(
             Edit(RUNNER, 'wait = max(0.0, self._remaining(job))', 'wait = 60.0'),
             Edit(RUNNER, 'if self._remaining(job) <= 0:', 'if False:'),
@@ -151,18 +152,18 @@
         ),
     ),
     Mutant(
-        'an engine that leaves is not remembered',
+        'a leaving engine is not remembered',
         'membership/seamhold_membership/engine_view.py',
         'if self._leaving.get(engine.name) == engine.incarnation:',
         'if engine.phase is Phase.LEAVING:',
-        'A list that goes back does not bring a leaving engine back',
+        'A list that reverts does not revive a leaving engine',
     ),
     Mutant(
-        'peers are not told of leaving engines',
+        'leaving engines are not reported to peers',
         'routing/seamhold_routing/exchange.py',
         'events=state.events.pending(EVENTS_PER_DIGEST),',
         'events=[],',
-        'One box meets a leaving engine, and all boxes stay away',
+        'One box learns of a leaving engine, and all boxes avoid it',
     ),
     Mutant(
         'a stop does not wait',
@@ -172,25 +173,25 @@
         'A box is stopped with long streams in flight',
     ),
     Mutant(
-        'the latest news of settings wins',
+        'the latest received settings win',
         'settings/seamhold_settings/versions.py',
         'if held and candidate.revision <= held.revision:',
         'if held and candidate.revision == held.revision:',
-        'The platform goes back to an older copy',
+        'The platform goes back to an older snapshot',
     ),
     Mutant(
-        'a reset platform is not mended',
+        'a reset platform is not repaired',
         'router/seamhold/settings_follower.py',
         'self._repair(envelope.name)',
         'pass',
-        'An operator edits the older copy before it is mended',
+        'An operator edits the older snapshot before it is repaired',
     ),
     Mutant(
         'invalid settings come into force',
         'settings/seamhold_settings/schema.py',
         'forbid_unknown_fields=True',
         'forbid_unknown_fields=False',
-        'An invalid object is written past the checks',
+        'An invalid object is written bypassing the checks',
     ),
     Mutant(
         'writes of settings have no condition',
@@ -200,60 +201,60 @@
         'Two operators edit the same object at once',
     ),
     Mutant(
-        'settings do not come from peers',
+        'settings are not pulled from peers',
         'router/seamhold/peer_pulls.py',
         'newer = await client.pull_settings(revisions)',
         'newer = []',
-        'A box starts while the platform is out',
+        'A box starts while the platform is down',
     ),
     Mutant(
-        'what engines ended under runs like any other',
+        'a request under which engines ended runs like any other',
         'router/seamhold/trials.py',
         'return bool(scopes) and identity.scope in scopes',
         'return False',
-        'It comes at each box in turn',
+        'Copies arrive at each box in turn',
     ),
     Mutant(
-        'what the store keeps of it is not read',
+        'stored quarantine cases are not read',
         'router/seamhold/case_store.py',
         'self.merge_objects(self._store.list(ObjectKind.QUARANTINE).objects)',
         'return',
-        'All boxes are gone after it is known',
+        'All boxes are killed after the request is quarantined',
     ),
     Mutant(
-        'two ends are proof',
+        'two ends count as proof',
         'quarantine/seamhold_quarantine/quarantine.py',
         'if _is_proven(counted) and now < _rests_until(counted):',
         'if len(counted) >= SUSPECT_ENDS:',
         'Engines end by themselves while a harmless request runs there',
     ),
     Mutant(
-        'what operators lift stays',
+        'cases that operators lift stay in force',
         'quarantine/seamhold_quarantine/case.py',
         'if end.at > self.cleared_at and explained.get(key, 0) <= len(self.ends)',
         'if explained.get(key, 0) <= len(self.ends)',
-        'Operators lift it',
+        'Operators lift the quarantine',
     ),
 )
 
 
-def break_copy(mutant: Mutant, folder: Path) -> list[str]:
-    """Copy the packages with one mechanism off; the path to import from."""
+def copy_with_mutation(mutant: Mutant, folder: Path) -> list[str]:
+    """Copy the packages and apply the mutant's edits; return the import paths."""
     packages = folder / 'packages'
     shutil.copytree(ROOT / 'packages', packages, ignore=shutil.ignore_patterns('__pycache__'))
     for edit in mutant.edits:
         file = packages / edit.file
         text = file.read_text(encoding='utf-8')
         if edit.old not in text:
-            raise SystemExit(f'{mutant.name}: {edit.file} has changed, mend the mutant')
+            raise SystemExit(f'{mutant.name}: {edit.file} has changed, update the mutant')
         file.write_text(text.replace(edit.old, edit.new), encoding='utf-8')
     return [str(path) for path in sorted(packages.iterdir())]
 
 
-def caught(mutant: Mutant) -> bool:
-    """Whether the scenario fails with the mechanism off."""
+def detects(mutant: Mutant) -> bool:
+    """Whether the scenario fails with the mechanism disabled."""
     with tempfile.TemporaryDirectory() as folder:
-        path = os.pathsep.join([*break_copy(mutant, Path(folder)), str(ROOT)])
+        path = os.pathsep.join([*copy_with_mutation(mutant, Path(folder)), str(ROOT)])
         command = [sys.executable, '-m', 'behave', 'scenarios', '--format', 'progress2']
         result = subprocess.run(
             [*command, '--name', mutant.scenario],
@@ -268,17 +269,17 @@
 
 
 def main(names: list[str]) -> int:
-    """Try all mutants, or those whose name holds one of `names`."""
+    """Run all mutants, or those whose name contains one of `names`."""
     wanted = [
         mutant for mutant in MUTANTS if not names or any(name in mutant.name for name in names)
     ]
-    missed = 0
+    undetected = 0
     for mutant in wanted:
-        found = caught(mutant)
-        missed += not found
+        found = detects(mutant)
+        undetected += not found
         print(f'{"caught" if found else "MISSED"}: {mutant.name}', flush=True)
-    print(f'{len(wanted) - missed} passed, {missed} failed')
-    return 1 if missed else 0
+    print(f'{len(wanted) - undetected} passed, {undetected} failed')
+    return 1 if undetected else 0
 
 
 if __name__ == '__main__':
--- a/scenarios/steps/bound_steps.py
+++ b/scenarios/steps/bound_steps.py
@@ -21,23 +21,23 @@
 def open_streams(context, count, seconds, **options):
     world = context.world
     boxes = [process.name for process in world.fleet.processes.values() if process.kind == 'box']
-    context.rush = getattr(context, 'rush', [])
+    context.surge_records = getattr(context, 'surge_records', [])
     for _ in range(count):
-        name = f'rush-{len(context.rush)}'
-        box = boxes[len(context.rush) % len(boxes)]
-        sent = world.send(name, box, mark='rush', stream='yes', tokens=STREAM_TOKENS, **options)
-        context.rush.append(sent)
+        name = f'rush-{len(context.surge_records)}'
+        box = boxes[len(context.surge_records) % len(boxes)]
+        record = world.send(name, box, mark='rush', stream='yes', tokens=STREAM_TOKENS, **options)
+        context.surge_records.append(record)
         time.sleep(seconds / count)
     time.sleep(0.3)
 
 
 @when('{count:d} long streams of chat "{chat}" are opened over {seconds:g} s')
-def rush_of_chat(context, count, chat, seconds):
+def surge_of_chat(context, count, chat, seconds):
     open_streams(context, count, seconds, chat=chat)
 
 
 @when('{count:d} long streams of workspace "{workspace}" are opened over {seconds:g} s')
-def rush_of_workspace(context, count, workspace, seconds):
+def surge_of_workspace(context, count, workspace, seconds):
     open_streams(context, count, seconds, workspace=workspace)
 
 
@@ -54,7 +54,7 @@
 def within_multiple(context, multiple):
     counts = running(context)
     mean = sum(counts.values()) / len(counts)
-    assert sum(counts.values()) == len(context.rush), counts
+    assert sum(counts.values()) == len(context.surge_records), counts
     assert max(counts.values()) <= multiple * mean, counts
 
 
@@ -66,19 +66,19 @@
     assert max(counts.values()) <= multiple * mean, counts
 
 
-@then('at most {count:d} streams of the rush run')
+@then('at most {count:d} streams of the surge run')
 def at_most_run(context, count):
     assert sum(running(context).values()) <= count, running(context)
 
 
-@then('at least {count:d} streams of the rush run')
+@then('at least {count:d} streams of the surge run')
 def at_least_run(context, count):
     assert sum(running(context).values()) >= count, running(context)
 
 
-@then('every refused stream of the rush was "{code}", ran "{ran}"')
+@then('every refused stream of the surge was "{code}", ran "{ran}"')
 def refused_as(context, code, ran):
-    refused = [sent.problem for sent in context.rush if sent.status >= 400]
+    refused = [record.error_document for record in context.surge_records if record.status >= 400]
     assert refused, 'none was refused'
     wrong = [problem for problem in refused if (problem['code'], problem['ran']) != (code, ran)]
     assert not wrong, wrong[:3]
--- a/scenarios/steps/call_steps.py
+++ b/scenarios/steps/call_steps.py
@@ -1,4 +1,4 @@
-"""Steps that make calls and look at what came of them."""
+"""Steps that make calls and check their results."""
 
 import time
 
@@ -9,9 +9,9 @@
 SETTLE_SECONDS = 0.5
 
 
-@when('"{box}" gives ticket "{name}"')
-def mint(context, box, name):
-    context.world.mint(name, box)
+@when('"{box}" issues ticket "{name}"')
+def issue_ticket(context, box, name):
+    context.world.issue_ticket(name, box)
 
 
 @when('these calls are sent')
@@ -27,15 +27,15 @@
         options = {key: row[key] for key in row.headings if row[key]}
         name = options.pop('call')
         context.world.send(name, options.pop('box'), **options)
-        context.world.finished(name)
+        context.world.wait_for_call(name)
 
 
-@step('an engine has begun call "{mark}"')
-def begun(context, mark):
-    wait_until(lambda: context.world.begun(mark), description=f'an engine to begin {mark}')
+@step('an engine has started call "{mark}"')
+def has_started(context, mark):
+    wait_until(lambda: context.world.has_started(mark), description=f'an engine to start {mark}')
 
 
-@step('an engine took call "{mark}"')
+@step('an engine received call "{mark}"')
 def taken(context, mark):
     wait_until(lambda: context.world.ran(mark), description=f'an engine to take {mark}')
 
@@ -48,45 +48,49 @@
     assert running == 0, f'{name} runs already'
 
 
-@step('the caller of "{name}" leaves')
-def leave(context, name):
-    sent = context.world.calls[name]
-    wait_until(lambda: sent.response is not None, description=f'{name} to be answered')
-    sent.response.connection.sock.shutdown(2)
+@step('the caller of "{name}" disconnects')
+def disconnect_caller(context, name):
+    record = context.world.calls[name]
+    wait_until(lambda: record.response is not None, description=f'{name} to be answered')
+    record.response.connection.sock.shutdown(2)
 
 
-@then('call "{name}" is answered whole')
+@then('call "{name}" gets a complete answer')
 def answered(context, name):
-    sent = context.world.finished(name)
-    assert sent.whole, f'{name}: {sent.status} {sent.broken} {sent.body[-400:]!r}'
+    record = context.world.wait_for_call(name)
+    assert record.complete, (
+        f'{name}: {record.status} {record.connection_error} {record.body[-400:]!r}'
+    )
 
 
 @then('call "{name}" has all its {count:d} tokens, each once and in order')
 def all_tokens(context, name, count):
-    sent = context.world.finished(name)
-    numbers = [int(word.partition('-')[2]) for word in sent.text.split()]
-    assert numbers == list(range(count)), f'{name}: {sent.text!r}'
+    record = context.world.wait_for_call(name)
+    numbers = [int(word.partition('-')[2]) for word in record.text.split()]
+    assert numbers == list(range(count)), f'{name}: {record.text!r}'
 
 
 @then('call "{name}" is refused as "{code}", ran "{ran}"')
 def refused(context, name, code, ran):
-    sent = context.world.finished(name)
-    assert sent.problem, f'{name}: {sent.status} {sent.broken} {sent.body[-400:]!r}'
-    got = (sent.problem['code'], sent.problem['ran'])
-    assert got == (code, ran), f'{name}: {got} {sent.problem["detail"]}'
+    record = context.world.wait_for_call(name)
+    assert record.error_document, (
+        f'{name}: {record.status} {record.connection_error} {record.body[-400:]!r}'
+    )
+    got = (record.error_document['code'], record.error_document['ran'])
+    assert got == (code, ran), f'{name}: {got} {record.error_document["detail"]}'
 
 
-@then('call "{name}" is broken off')
-def broken(context, name):
-    sent = context.world.finished(name)
-    assert not sent.whole, f'{name} passed as whole: {sent.body[-200:]!r}'
+@then('call "{name}" gets no complete answer')
+def gets_no_complete_answer(context, name):
+    record = context.world.wait_for_call(name)
+    assert not record.complete, f'{name} looks complete: {record.body[-200:]!r}'
 
 
 @then('call "{name}" is refused, ran "{ran}"')
 def refused_any(context, name, ran):
-    sent = context.world.finished(name)
-    assert sent.problem, f'{name}: {sent.status} {sent.broken}'
-    assert sent.problem['ran'] == ran, f'{name}: {sent.problem}'
+    record = context.world.wait_for_call(name)
+    assert record.error_document, f'{name}: {record.status} {record.connection_error}'
+    assert record.error_document['ran'] == ran, f'{name}: {record.error_document}'
 
 
 @then('the engines ran "{mark}" {count:d} times')
@@ -104,20 +108,20 @@
     assert len(rows) <= 1, f'{mark} ran {len(rows)} times: {rows}'
 
 
-@then('exactly one of "{first}" and "{second}" is answered whole')
+@then('exactly one of "{first}" and "{second}" gets a complete answer')
 def exactly_one(context, first, second):
-    whole = [context.world.finished(name).whole for name in (first, second)]
-    assert sorted(whole) == [False, True], whole
+    complete = [context.world.wait_for_call(name).complete for name in (first, second)]
+    assert sorted(complete) == [False, True], complete
 
 
-@then('whoever was told that "{mark}" did not run was told the truth')
-def told_truth(context, mark):
+@then('every report that "{mark}" did not run is true')
+def not_run_reports_are_true(context, mark):
     time.sleep(SETTLE_SECONDS)
     rows = context.world.ran(mark)
-    for sent in context.world.calls.values():
-        if sent.mark == mark and sent.problem.get('ran') == 'no':
+    for record in context.world.calls.values():
+        if record.mark == mark and record.error_document.get('ran') == 'no':
             ids = {row['request_id'] for row in rows}
-            assert sent.problem['request_id'] not in ids, f'{sent.name} ran: {rows}'
+            assert record.error_document['request_id'] not in ids, f'{record.name} ran: {rows}'
 
 
 @then('the engine cancelled call "{mark}"')
--- a/scenarios/steps/fleet_steps.py
+++ b/scenarios/steps/fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps that start, break and mend the fleet."""
+"""Steps that start the fleet, inject faults and undo them."""
 
 import time
 
@@ -22,12 +22,12 @@
     context.world.start(boxes, engines, token_seconds=0.1, slots=slots)
 
 
-@step('the platform is out')
+@step('the platform is down')
 def platform_out(context):
     context.world.fleet.faults('platform', down=True)
 
 
-@step('the platform is back')
+@step('the platform is up again')
 def platform_back(context):
     context.world.fleet.faults('platform', down=False)
 
@@ -37,7 +37,7 @@
     context.world.fleet.faults('platform', slow=seconds)
 
 
-@step('the platform holds writes until {count:d} have come')
+@step('the platform holds writes until {count:d} have arrived')
 def platform_gathers_writes(context, count):
     context.world.fleet.faults('platform', gather_writes=count)
 
@@ -58,7 +58,7 @@
 def first_engine(context, mark, fault):
     world = context.world
     world.send('probe', 'box-1', mark='probe', content=mark)
-    probe = world.finished('probe')
+    probe = world.wait_for_call('probe')
     engine = probe.headers['Seamhold-Served-By'].partition(';')[0]
     world.fleet.faults(engine, **FAULTS[fault])
 
@@ -69,7 +69,7 @@
     'end its streams early': {'end_without_done': True},
     'answer with the id of another request': {'wrong_id': 'ffffffffffffffff'},
     'refuse': {'refuse': True},
-    'say that it is leaving': {'leaving': True},
+    'report that it is leaving': {'leaving': True},
     'answer 500': {'fail_500': True},
     'accept again': {'refuse': False},
 }
@@ -85,8 +85,8 @@
     context.world.fleet.freeze(name)
 
 
-@step('"{name}" goes on')
-def thaw(context, name):
+@step('"{name}" resumes')
+def resume(context, name):
     context.world.fleet.thaw(name)
 
 
@@ -101,13 +101,15 @@
     time.sleep(seconds)
 
 
-@step('"{box}" knows that "{other}" started anew')
-def knows_anew(context, box, other):
+@step('"{box}" knows that "{other}" restarted')
+def knows_new_incarnation(context, box, other):
     fleet = context.world.fleet
     current = fleet.status(other)['incarnation']
 
-    def heard():
+    def incarnation_is_current():
         peers = {peer['name']: peer['incarnation'] for peer in fleet.status(box)['boxes']}
         return peers.get(other) == current
 
-    wait_until(heard, description=f'{box} to hear {other}')
+    wait_until(
+        incarnation_is_current, description=f'{box} to receive the new incarnation of {other}'
+    )
--- a/scenarios/steps/leaving_steps.py
+++ b/scenarios/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps about engines that leave, boxes that stop, and callers that go on."""
+"""Steps about leaving engines, stopping boxes and continuous callers."""
 
 import time
 from collections import Counter
@@ -16,7 +16,7 @@
     context.world.fleet.faults('platform', list_lag=seconds)
 
 
-@then('the engines refused {count:d} call in all')
+@then('the engines refused {count:d} call in total')
 def refused_in_all(context, count):
     fleet = context.world.fleet
     engines = [process for process in fleet.processes.values() if process.kind == 'engine']
@@ -67,16 +67,16 @@
     assert result.returncode == 0, result.stderr
 
 
-@then('"{box}" has left with status {status:d}')
+@then('"{box}" exits with status {status:d}')
 def left(context, box, status):
     assert context.world.fleet.processes[box].popen.wait(15) == status
 
 
-@when('{count:d} callers call on')
+@when('{count:d} callers call continuously')
 def call_on(context, count):
     context.world.load = Load(context.world, count)
     context.world.load.start()
-    wait_until(lambda: len(context.world.load.done) > count, description='the callers to begin')
+    wait_until(lambda: len(context.world.load.records) > count, description='the callers to begin')
 
 
 @when('each box is restarted in turn')
@@ -92,19 +92,19 @@
 
 @step('the callers stop')
 def callers_stop(context):
-    context.done = context.world.load.stop()
-    assert len(context.done) > 20, f'only {len(context.done)} calls'
+    context.records = context.world.load.stop()
+    assert len(context.records) > 20, f'only {len(context.records)} calls'
 
 
 def failures(context):
-    return [sent for sent in context.done if not sent.whole]
+    return [record for record in context.records if not record.complete]
 
 
-def describe(sent):
-    return f'{sent.name}: {sent.status} {sent.broken} {sent.body[-200:]!r}'
+def describe(record):
+    return f'{record.name}: {record.status} {record.connection_error} {record.body[-200:]!r}'
 
 
-@then('every call of the callers was answered whole')
+@then('every call of the callers got a complete answer')
 def all_whole(context):
     failed = failures(context)
     assert not failed, '\n'.join(map(describe, failed[:5]))
@@ -117,7 +117,9 @@
 @then('every call of the callers ran once')
 def all_once(context):
     counts = runs(context)
-    wrong = {sent.mark: counts[sent.mark] for sent in context.done if counts[sent.mark] != 1}
+    wrong = {
+        record.mark: counts[record.mark] for record in context.records if counts[record.mark] != 1
+    }
     assert not wrong, wrong
 
 
@@ -129,25 +131,27 @@
 
 @then('only calls that were in flight on a killed box failed')
 def only_in_flight(context):
-    # The balancer may send a few more calls to the box before it sees that
-    # nobody listens there; those take no connection and run nowhere.
-    refused = [sent for sent in failures(context) if 'NewConnectionError' in sent.broken]
-    in_flight = [sent for sent in failures(context) if sent not in refused]
-    wrong = [sent for sent in in_flight if not sent.broken]
+    # The balancer may send a few more calls to the box before it notices that the box
+    # is down; their connections are refused and they run nowhere.
+    refused = [
+        record for record in failures(context) if 'NewConnectionError' in record.connection_error
+    ]
+    in_flight = [record for record in failures(context) if record not in refused]
+    wrong = [record for record in in_flight if not record.connection_error]
     assert not wrong, '\n'.join(map(describe, wrong[:5]))
     assert len(in_flight) <= context.world.load.callers, len(in_flight)
     counts = runs(context)
-    ran = [sent.mark for sent in refused if counts[sent.mark]]
+    ran = [record.mark for record in refused if counts[record.mark]]
     assert not ran, ran
 
 
-@then('what the callers were told of calls that did not run is true')
-def told_truth(context):
+@then('every report to the callers that a call did not run is true')
+def not_run_reports_are_true(context):
     counts = runs(context)
     wrong = [
-        sent.mark
-        for sent in context.done
-        if sent.problem.get('ran') == 'no' and counts[sent.mark] > 0
+        record.mark
+        for record in context.records
+        if record.error_document.get('ran') == 'no' and counts[record.mark] > 0
     ]
     assert not wrong, wrong
 
--- a/scenarios/steps/quarantine_steps.py
+++ b/scenarios/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps with a request that ends the engines that run it."""
+"""Steps about a request that ends every engine that runs it."""
 
 import time
 
@@ -30,27 +30,27 @@
             context.world.fleet.faults(engine.name, ends_on='')
 
 
-@step('call "{content}" comes {count:d} times, at each box in turn')
-def comes_at_each(context, content, count):
+@step('call "{content}" is sent {count:d} times, at each box in turn')
+def send_copies_to_each(context, content, count):
     send_copies(context.world, content, count, boxes(context.world))
 
 
-@step('call "{content}" comes {count:d} times, at "{first}" and "{second}" in turn')
-def comes_at_two(context, content, count, first, second):
+@step('call "{content}" is sent {count:d} times, at "{first}" and "{second}" in turn')
+def send_copies_to_two(context, content, count, first, second):
     send_copies(context.world, content, count, [first, second])
 
 
-@step('call "{content}" comes {count:d} times, at "{box}" in turn')
-def comes_at_one(context, content, count, box):
+@step('call "{content}" is sent {count:d} times, at "{box}" in turn')
+def send_copies_to_one(context, content, count, box):
     send_copies(context.world, content, count, [box])
 
 
 def send_copies(world, content, count, names):
-    """Copies that tell nothing apart but their ids, one after the other."""
+    """Send copies that differ only in their request ids, one after the other."""
     for number in range(count):
         name = f'copy-{len(world.calls)}'
         world.send(name, names[number % len(names)], mark='copies', content=content)
-        world.last_copy = world.finished(name)
+        world.last_copy_record = world.wait_for_call(name)
         time.sleep(GAP_SECONDS)
 
 
@@ -66,7 +66,7 @@
         world.fleet.kill(name)
 
 
-@step('an operator lifts what "{box}" knows')
+@step('an operator lifts the quarantine cases of "{box}"')
 def lift(context, box):
     world = context.world
     url = f'http://{HOST}:{world.fleet.processes[box].operator_port}'
@@ -81,14 +81,16 @@
     assert len(ended) <= count, ended
 
 
-@then('its last caller is refused as "{code}", ran "{ran}"')
+@then('the last copy is refused as "{code}", ran "{ran}"')
 def last_refused(context, code, ran):
-    sent = context.world.last_copy
-    assert sent.problem, f'{sent.status} {sent.broken}'
-    assert (sent.problem['code'], sent.problem['ran']) == (code, ran), sent.problem
+    record = context.world.last_copy_record
+    assert record.error_document, f'{record.status} {record.connection_error}'
+    assert (record.error_document['code'], record.error_document['ran']) == (code, ran), (
+        record.error_document
+    )
 
 
-@then('its last caller is answered whole')
+@then('the last copy gets a complete answer')
 def last_answered(context):
-    sent = context.world.last_copy
-    assert sent.whole, f'{sent.status} {sent.broken} {sent.body[-400:]!r}'
+    record = context.world.last_copy_record
+    assert record.complete, f'{record.status} {record.connection_error} {record.body[-400:]!r}'
--- a/scenarios/steps/settings_steps.py
+++ b/scenarios/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps about operators and the settings in force."""
+"""Steps about operators' changes and the settings in force."""
 
 import json
 import threading
@@ -45,23 +45,23 @@
 
 
 @then('at most {count:d} boxes watch the settings')
-def few_watch(context, count):
+def at_most_watch(context, count):
     fleet = context.world.fleet
 
     def waiting():
         url = f'{fleet.platform.url}/standin/waiting'
         return fleet.http.request('GET', url).json()['settings']
 
-    def few_for_a_while():
-        ends = time.monotonic() + 2
-        while time.monotonic() < ends:
+    def stays_within_limit():
+        deadline = time.monotonic() + 2
+        while time.monotonic() < deadline:
             if waiting() > count:
                 return False
             time.sleep(0.1)
         return waiting() >= 1
 
-    # While boxes come, others watch in their place for one watch at most.
-    wait_until(few_for_a_while, 20, f'at most {count} watchers')
+    # While boxes join, others watch in their place, for at most the length of one watch.
+    wait_until(stays_within_limit, 20, f'at most {count} watchers')
 
 
 @when('two operators set "{path}" at once to "{first}" and "{second}"')
@@ -118,14 +118,14 @@
     context.world.fleet.write('settings', name, spec)
 
 
-@then('a box tells why "{name}" was rejected')
-def tells_why(context, name):
+@then('a box reports why "{name}" was rejected')
+def reports_rejection(context, name):
     fleet = context.world.fleet
     reasons = [fleet.status(box)['settings']['rejected'].get(name, '') for box in boxes(context)]
     assert any('no-such-key' in reason for reason in reasons), reasons
 
 
-@when('the platform keeps a copy of itself')
+@when('the platform saves a snapshot')
 def keep_copy(context):
     fleet = context.world.fleet
     fleet.http.request('POST', f'{fleet.platform.url}/standin/copy')
@@ -136,12 +136,12 @@
     fleet.http.request('POST', f'{fleet.platform.url}/standin/reset')
 
 
-@when('the platform is reset to its copy')
+@when('the platform is reset to its snapshot')
 def reset_platform(context):
     reset(context)
 
 
-@when('the platform is reset to its copy and an operator sets "{path}" to "{value}" at once')
+@when('the platform is reset to its snapshot and an operator sets "{path}" to "{value}" at once')
 def reset_and_set(context, path, value):
     fleet = context.world.fleet
     key = path.split('.')[1:]
@@ -170,8 +170,8 @@
 @then('object "{name}" never falls below revision {revision:d} on any box for {seconds:g} s')
 def never_below(context, name, revision, seconds):
     fleet = context.world.fleet
-    ends = time.monotonic() + seconds
-    while time.monotonic() < ends:
+    deadline = time.monotonic() + seconds
+    while time.monotonic() < deadline:
         for box in boxes(context):
             held = fleet.status(box)['settings']['revisions'][name]
             assert held >= revision, f'{box} went back to {held}'
@@ -183,8 +183,8 @@
     fleet = context.world.fleet
     url = f'{fleet.platform.url}/apis/seamhold/v1/settings/{name}'
 
-    def mended():
+    def is_restored():
         spec = json.loads(fleet.http.request('GET', url).data)['spec']
         return spec['revision'] == revision
 
-    wait_until(mended, seconds, 'the platform to be mended')
+    wait_until(is_restored, seconds, 'the platform to be repaired')
