--- a/packages/messages/seamhold_messages/errors.py
+++ b/packages/messages/seamhold_messages/errors.py
@@ -2,6 +2,8 @@
 
 The meaning of a released code never changes because callers and operators match
 on it.  `docs/OPERATIONS.md` lists the action to take for each code.
+The first line of a class's docstring is the title that callers receive with the code, so it
+stays as released.
 """
 
 from enum import StrEnum
@@ -32,14 +34,14 @@
 
 
 class Internal(SeamholdError):
-    """An internal error of seamhold; the call may have run."""
+    """A fault of seamhold itself; the call may have run."""
 
     code = 'internal'
     ran = Ran.UNKNOWN
 
 
 class BoxFull(SeamholdError):
-    """This box is at its limit of concurrent calls; another box may have capacity."""
+    """This box answers as many calls as it may; another may have room."""
 
     code = 'box_full'
     status = 503
@@ -49,7 +51,7 @@
 
 
 class BadRequest(SeamholdError):
-    """The request is malformed for this route."""
+    """The request is not one this route can read."""
 
     code = 'bad_request'
     status = 400
@@ -62,7 +64,7 @@
 
 
 class Unauthorized(SeamholdError):
-    """The API key is missing or belongs to no workspace."""
+    """The key is missing or names no workspace."""
 
     code = 'unauthorized'
     status = 401
@@ -76,7 +78,7 @@
 
 
 class CallerTooSlow(SeamholdError):
-    """The request body did not arrive in time, or the caller disconnected while sending it."""
+    """The request's body did not come in time, or its caller left."""
 
     code = 'caller_too_slow'
     status = 408
@@ -90,14 +92,14 @@
 
 
 class UnknownRoute(SeamholdError):
-    """No route matches this host and path prefix."""
+    """No route begins this path at this host."""
 
     code = 'unknown_route'
     status = 404
 
 
 class CallerLeft(SeamholdError):
-    """The caller closed its connection before the answer was complete."""
+    """The caller closed its connection before the answer was whole."""
 
     code = 'caller_left'
     status = 499
@@ -115,98 +117,98 @@
 
 
 class NoEngine(SeamholdError):
-    """This box knows of no live engine for the service."""
+    """No live engine serves this service as far as this box knows."""
 
     code = 'no_engine'
     status = 503
 
 
 class FleetFull(SeamholdError):
-    """All slots of the service's engines are taken and the queue is full."""
+    """Every engine of the service is at its slots and the queue is full."""
 
     code = 'fleet_full'
     status = 503
 
 
 class WorkspaceLimit(SeamholdError):
-    """The workspace has reached one of its limits."""
+    """The workspace is at its limit."""
 
     code = 'workspace_limit'
     status = 429
 
 
 class DeadlineUnmeetable(SeamholdError):
-    """The expected wait in the queue exceeds the time left until the call's deadline."""
+    """The queue is longer than the time the caller left."""
 
     code = 'deadline_unmeetable'
     status = 503
 
 
 class DeadlinePassed(SeamholdError):
-    """The call's deadline passed while it was still queued."""
+    """The caller's time ran out while the call was still waiting."""
 
     code = 'deadline_passed'
     status = 504
 
 
 class NotReady(SeamholdError):
-    """The box has not loaded its settings yet, or it is shutting down."""
+    """The box has no settings yet, or it is stopping."""
 
     code = 'not_ready'
     status = 503
 
 
 class RetryBudgetSpent(SeamholdError):
-    """The call did not run, and this box's retry budget is exhausted."""
+    """Nothing ran, and this box has no retries left to spend on it."""
 
     code = 'retry_budget_spent'
     status = 503
 
 
 class EngineUnreachable(SeamholdError):
-    """The engine accepted no connection, so nothing was sent."""
+    """The engine took no connection, so nothing was sent."""
 
     code = 'engine_unreachable'
     status = 502
 
 
 class EngineRefused(SeamholdError):
-    """The engine reported that it did not run the call."""
+    """The engine said that it did not run the call."""
 
     code = 'engine_refused'
     status = 503
 
 
 class ClaimsUnavailable(SeamholdError):
-    """The platform could not record the call's idempotency key, so the call was not sent."""
+    """The platform could not record the call's key, so it was not sent."""
 
     code = 'claims_unavailable'
     status = 503
 
 
 class ClaimsFull(SeamholdError):
-    """The bucket of recorded idempotency keys is full until older keys expire."""
+    """The bucket of recorded keys has no room until older ones expire."""
 
     code = 'claims_full'
     status = 503
 
 
 class RequestQuarantined(SeamholdError):
-    """Each engine that ran this request ended; for now it is sent to no other engine."""
+    """Each engine that ran this request ended; it is not sent to another now."""
 
     code = 'request_quarantined'
     status = 503
 
 
 class RequestOnTrial(SeamholdError):
-    """Engines ended under this request, and a trial run of it is in progress elsewhere."""
+    """Engines ended under this request; the same one runs alone elsewhere at the moment."""
 
     code = 'request_on_trial'
     status = 503
 
 
 class TicketsFull(SeamholdError):
-    """The box is at its limit of open tickets."""
+    """The box holds as many open tickets as it may."""
 
     code = 'tickets_full'
     status = 503
@@ -224,14 +226,14 @@
 
 
 class EngineMisdirected(SeamholdError):
-    """Another incarnation now has the engine's address; it did not run the call."""
+    """Another incarnation has the engine's address; it did not run the call."""
 
     code = 'engine_misdirected'
     status = 503
 
 
 class AnswerTimeout(SeamholdError):
-    """The engine did not answer before the call's deadline."""
+    """The engine did not answer within the caller's time."""
 
     code = 'answer_timeout'
     status = 504
@@ -239,7 +241,7 @@
 
 
 class AnswerCut(SeamholdError):
-    """The answer ended before it was complete."""
+    """The answer ended before it was whole."""
 
     code = 'answer_cut'
     status = 502
@@ -247,7 +249,7 @@
 
 
 class AnswerMismatch(SeamholdError):
-    """The request id in the engine's answer is that of another request."""
+    """The engine answered with the id of another request."""
 
     code = 'answer_mismatch'
     status = 502
@@ -255,7 +257,7 @@
 
 
 class KeyInUse(SeamholdError):
-    """An earlier request with this idempotency key was already sent to an engine."""
+    """An earlier arrival with this idempotency key was sent to an engine."""
 
     code = 'key_in_use'
     status = 409
@@ -263,7 +265,7 @@
 
 
 class KeyMismatch(SeamholdError):
-    """The idempotency key or ticket was used before with a different body."""
+    """The idempotency key or ticket came before with another body."""
 
     code = 'key_mismatch'
     status = 422
@@ -271,7 +273,7 @@
 
 
 class TicketUnknown(SeamholdError):
-    """No live box holds this ticket; its call is never run again."""
+    """No living box remembers this ticket; it is never run again."""
 
     code = 'ticket_unknown'
     status = 409
@@ -279,7 +281,7 @@
 
 
 class TicketUnreachable(SeamholdError):
-    """The box that holds the ticket does not answer at present."""
+    """The box that holds the ticket does not answer now."""
 
     code = 'ticket_unreachable'
     status = 503
@@ -290,7 +292,7 @@
 
 
 class SettingsInvalid(SeamholdError):
-    """A settings tree or box file violates the schema; `detail` names the path and the rule."""
+    """A tree or box file breaks the schema; `detail` names path and rule."""
 
     code = 'settings_invalid'
     status = 422
@@ -304,21 +306,21 @@
 
 
 class PlatformUnavailable(SeamholdError):
-    """The platform's object API did not answer; a write may have been applied."""
+    """The platform's object API did not answer; a write may have landed."""
 
     code = 'platform_unavailable'
     status = 503
 
 
 class PlatformConflict(SeamholdError):
-    """The object's version changed before the conditional write."""
+    """The object's version moved on before the conditional write."""
 
     code = 'platform_conflict'
     status = 409
 
 
 class PlatformGone(SeamholdError):
-    """The watch requested a version that the platform no longer keeps."""
+    """The watch asked for a version the platform no longer keeps."""
 
     code = 'platform_gone'
     status = 410
@@ -332,19 +334,19 @@
 
 
 class PlatformThrottled(PlatformUnavailable):
-    """The platform rate-limits its clients; try again later."""
+    """The platform asks its callers to come back later."""
 
     code = 'platform_throttled'
 
 
 class EntryUnreadable(SeamholdError):
-    """A list entry lacks a field or has one of the wrong type, so it cannot be identified."""
+    """An entry of a list lacks a field or has one of another type: it names nothing."""
 
     code = 'entry_unreadable'
 
 
 class EntryUnsound(EntryUnreadable):
-    """A list entry has all its fields, but one has an impossible value."""
+    """An entry of a list has all its fields, and one says what cannot be."""
 
     code = 'entry_unsound'
 
